--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -88,8 +88,11 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.budget(&admitted.service, |budget| budget.requested(now));
-    if shared.stops_in().is_some_and(|left| left < LAST_CALLS) {
+    shared.retry_budget(&admitted.service, |budget| budget.requested(now));
+    if shared
+        .shutdown_time_left()
+        .is_some_and(|left| left < LAST_CALLS)
+    {
         return admitted.refuse(shared, &refuse::stopping());
     }
     let mut tries = Tries::default();
@@ -99,7 +102,7 @@
         if admitted.time_left() <= DEADLINE_MARGIN {
             return timed_out(shared, &admitted, may_have_run);
         }
-        if let Some(refusal) = shared.held_back(&admitted) {
+        if let Some(refusal) = shared.refuse_suspect(&admitted) {
             return held_back(shared, &admitted, may_have_run, refusal);
         }
         let Some(candidate) = admitted.place(shared, Need::Slot, tries.upstreams()) else {
@@ -107,13 +110,13 @@
         };
         let upstream = candidate.upstream;
         tries.begin(&upstream.id);
-        let _trial = shared.trial(&upstream.id);
+        let _trial = shared.begin_send(&upstream.id);
         let last = is_last(&admitted, may_have_run);
         let sent_at = Instant::now();
         let outcome = attempt(front, &admitted, &upstream, last).await;
         note_health(shared, &admitted, &upstream, &outcome);
         if let Some(tried) = outcome.as_tried(sent_at.elapsed()) {
-            shared.note_tried(&admitted, &upstream, Measure::Whole, tried);
+            shared.record_rollout_outcome(&admitted, &upstream, Measure::Whole, tried);
         }
         let reached = match outcome {
             Attempted::Unreachable(_) => Reached::Unreachable,
@@ -166,7 +169,7 @@
 /// Sends the request to one upstream.
 async fn attempt(front: &Front, admitted: &Admitted, upstream: &Upstream, last: bool) -> Attempted {
     let shared = &front.shared;
-    shared.sends_to(upstream);
+    shared.record_send(upstream);
     let _occupied = shared.loads().occupy(&upstream.id, 0, 0);
     let mut limit = admitted.time_left().saturating_sub(DEADLINE_MARGIN);
     if !last {
@@ -177,7 +180,7 @@
     tokio::select! {
         outcome = exchange => outcome,
         () = tokio::time::sleep_until(until) => Attempted::TimedOut,
-        () = shared.deadline_slept_through(admitted.deadline_at) => Attempted::TimedOut,
+        () = shared.wait_missed_deadline(admitted.deadline_at) => Attempted::TimedOut,
     }
 }
 
@@ -194,7 +197,7 @@
         },
     };
     let shared = &front.shared;
-    shared.upstream_reached(&upstream.id);
+    shared.record_reached(&upstream.id);
     let headers = AttemptHeaders {
         upstream,
         time_left: admitted.time_left(),
@@ -229,14 +232,14 @@
         }
         Attempted::Answered(answer) => {
             let reason = format!("status {}", answer.head.status.as_u16());
-            shared.upstream_failed(&admitted.service, &upstream.id, &reason);
+            shared.record_failure(&admitted.service, &upstream.id, &reason);
         }
-        Attempted::Unreachable(reason) => shared.upstream_unreachable(&upstream.id, reason),
+        Attempted::Unreachable(reason) => shared.record_unreachable(&upstream.id, reason),
         Attempted::NotRun(reason) | Attempted::Unknown(reason) => {
-            shared.upstream_failed(&admitted.service, &upstream.id, reason);
+            shared.record_failure(&admitted.service, &upstream.id, reason);
         }
         Attempted::TimedOut => {
-            shared.upstream_failed(&admitted.service, &upstream.id, "no answer in time");
+            shared.record_failure(&admitted.service, &upstream.id, "no answer in time");
         }
     }
 }
@@ -268,7 +271,7 @@
         .with("bytes", answer.body.len())
         .write();
     let mut response = respond(&answer.head);
-    if shared.sends_callers_away() {
+    if shared.closes_connections() {
         response.force_close();
     }
     response.body(answer.body)
--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -62,7 +62,7 @@
 
 /// Serves the manifest of the configuration in force, or 404 while it is not newer.
 pub async fn serve_manifest(shared: &Shared, query: &ConfigurationQuery) -> HttpResponse {
-    let in_force = shared.in_force();
+    let in_force = shared.active_config();
     let newer = in_force.filter(|held| held.configuration.version > query.newer_than);
     let Some(newer) = newer else {
         return HttpResponse::NotFound().finish();
@@ -90,7 +90,7 @@
 }
 
 fn frames_of(shared: &Shared, ids: &[u8]) -> Result<Vec<Bytes>> {
-    let in_force = shared.in_force();
+    let in_force = shared.active_config();
     let cut = in_force.as_ref().map(|held| held.cut());
     let frame = |id: PieceId| {
         let packed = cut.map(|cut| cut.packed(id)).transpose()?.flatten();
@@ -113,7 +113,7 @@
 
 /// Begins to fetch the newest version that is known of, `wait` from now, unless that is under way.
 pub(crate) fn fetch_soon(shared: &Shared, wait: Duration) {
-    shared.look_for_newer();
+    shared.track_newer_version();
     let fetching = shared.clone();
     fetch_later(shared, Fetch::Configuration, wait, async move {
         catch_up(&fetching).await;
@@ -238,7 +238,7 @@
     /// Goes on with what has arrived of another version.
     fn begin(&mut self, manifest: Manifest) {
         let shelf = self.assembly.take().map(Assembly::into_shelf);
-        let in_force = self.shared.in_force();
+        let in_force = self.shared.active_config();
         let cut = in_force.as_ref().map(|held| held.cut());
         let assembly = Assembly::begin(manifest, cut, shelf.unwrap_or_default());
         self.assembly = Some(assembly);
@@ -274,7 +274,7 @@
         if let Some(assembly) = self.assembly.take() {
             let cut = assembly.finish()?;
             let source = self.source.peer.to_string();
-            self.shared.offer_cut(cut, &source).await?;
+            self.shared.offer_pieces(cut, &source).await?;
         }
         Ok(Outcome::Taken)
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -51,9 +51,9 @@
     mut connection: Connection,
     headers: &AttemptHeaders<'_>,
 ) -> Result<Begun, Unanswered> {
-    shared.look_for_suspension();
+    shared.check_suspension();
     // A run that was stopped to be moved goes on all the same, or it is lost.
-    if headers.continue_from.is_none() && shared.is_waking() {
+    if headers.continue_from.is_none() && shared.is_resuming() {
         let reason = "the host was suspended before it was sent".to_owned();
         return Err(Unanswered::NotRun(reason));
     }
@@ -69,14 +69,14 @@
         Ok(response) => response,
         Err(Failure::NotWritten(reason)) => return Err(Unanswered::NotRun(reason)),
         Err(Failure::Unknown(reason)) => {
-            shared.upstream_broke(admitted.fingerprint, upstream);
+            shared.record_crash(admitted.fingerprint, upstream);
             return Err(Unanswered::Unknown(reason));
         }
     };
     let (head, body) = response.into_parts();
     if head.status.as_u16() != OTHER_INSTANCE {
-        shared.note_reported_load(upstream, &head.headers);
-        shared.upstream_answered(sent_at, upstream);
+        shared.record_reported_load(upstream, &head.headers);
+        shared.record_alive(sent_at, upstream);
     }
     if !is_answer_to(shared, admitted, &head.headers) {
         let reason = "an answer to another request".to_owned();
@@ -111,14 +111,14 @@
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
-            shared.upstream_broke(admitted.fingerprint, &upstream.id);
+            shared.record_crash(admitted.fingerprint, &upstream.id);
             return Whole::Broken(format!("the answer broke off: {error}"));
         }
     };
     if let Some(reason) = not_run_reason(shared, upstream, &head) {
         return Whole::NotRun(reason);
     }
-    shared.request_answered(admitted.fingerprint, &upstream.id);
+    shared.clear_suspect(admitted.fingerprint, &upstream.id);
     Whole::Answered(WholeAnswer { head, body })
 }
 
@@ -135,7 +135,7 @@
     let status = head.status.as_u16();
     if status == OTHER_INSTANCE {
         let reason = "another instance answers at its address";
-        shared.witness_leaving(&upstream.id, reason);
+        shared.observe_leaving(&upstream.id, reason);
         return Some(reason.to_owned());
     }
     head.headers
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -106,7 +106,7 @@
         let began = Instant::now();
         let shared = follower.shared.clone();
         let next = follower.next;
-        let mut wakes = shared.wakes();
+        let mut wakes = shared.watch_wakeups();
         let step = tokio::select! {
             step = follower.advance() => step,
             () = return_elsewhere(&shared, topic) => Err(Interrupted::ReturnedElsewhere),
@@ -121,7 +121,7 @@
             Err(Interrupted::Truncated) => follower.next = None,
             Err(Interrupted::ReturnedElsewhere | Interrupted::Suspended) => {}
             Err(Interrupted::Unavailable(reason)) => {
-                shared.log_failed(topic, began.elapsed(), &reason);
+                shared.record_log_failure(topic, began.elapsed(), &reason);
                 let pause = backoff.next().unwrap_or(BACKOFF_MAX);
                 follower.wait_for_return(pause).await;
             }
@@ -143,13 +143,13 @@
 /// a deployment read both topics again 0.03 to 2.3 s after the log's return (own lines of one play).
 async fn return_elsewhere(shared: &Shared, topic: Topic) {
     let was_answered = shared.log_age(topic).is_some();
-    if !was_answered || !shared.is_log_lost(topic) {
+    if !was_answered || !shared.is_log_unreachable(topic) {
         return std::future::pending().await;
     }
-    let mut was_read = shared.hears_reader(topic);
+    let mut was_read = shared.has_live_reader(topic);
     loop {
         tick(READER_CHECK).await;
-        let is_read = shared.hears_reader(topic);
+        let is_read = shared.has_live_reader(topic);
         if is_read && !was_read {
             return;
         }
@@ -182,7 +182,7 @@
     fn is_fresh_elsewhere(&mut self) -> bool {
         let begun = self.next.is_some() || self.shared.is_ready();
         let elsewhere = match begun {
-            true => self.shared.leaves_reading(self.topic) || self.awaits_first_word(),
+            true => self.shared.delegates_reading(self.topic) || self.awaits_first_word(),
             false => self.is_joining() || self.is_served_by_others(),
         };
         if elsewhere {
@@ -211,14 +211,14 @@
     /// Whether this host has just started and others may know what it lacks. Seeds read at once, and
     /// so does a host that can't connect to any.
     fn is_joining(&self) -> bool {
-        let told = self.shared.told_hosts();
+        let told = self.shared.fleet_size_estimate();
         self.is_younger_than(JOIN_WAIT + JOIN_WAIT_PER_HOST * told)
     }
 
     /// Whether this host knows from a seed what is in force, and hasn't heard yet who reads the log.
     fn awaits_first_word(&self) -> bool {
         self.next.is_none()
-            && !self.shared.hears_reader(self.topic)
+            && !self.shared.has_live_reader(self.topic)
             && self.is_younger_than(FIRST_WORD_WAIT.max(self.shared.reader_interval() * 2))
     }
 
@@ -226,7 +226,7 @@
         let settings = self.shared.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
         let is_young = self.shared.now() < Time::ZERO + age;
-        is_young && !is_seed && self.shared.seeds() != Seeds::Away
+        is_young && !is_seed && self.shared.seed_state() != Seeds::Away
     }
 
     /// Waits before the log is tried again: for `pause` on the hosts that look out for its return,
@@ -245,8 +245,8 @@
         let tries_again = Instant::now() + AWAY_PAUSE;
         while Instant::now() < tries_again
             && self.shared.is_ready()
-            && !self.shared.is_lookout()
-            && !self.shared.leaves_reading(self.topic)
+            && !self.shared.is_log_prober()
+            && !self.shared.delegates_reading(self.topic)
         {
             tick(READER_CHECK).await;
         }
@@ -266,11 +266,11 @@
         let began = Instant::now();
         let (records, end) = newest(&self.shared, &mut self.client, self.topic, timeout).await?;
         if self.topic == Topic::Operator {
-            self.shared.read_all_evacuations(&records, end);
+            self.shared.replace_evacuations(&records, end);
             self.shared
-                .read_rollouts(&records, end.era, Freshness::Unknown);
+                .apply_rollouts(&records, end.era, Freshness::Unknown);
         }
-        self.shared.log_answered(self.topic, began.elapsed());
+        self.shared.record_log_answer(self.topic, began.elapsed());
         match self.topic {
             Topic::Operator => self.take_operator(&records).await,
             Topic::Upstreams => self.take_all_upstreams(&records, end),
@@ -282,22 +282,22 @@
 
     /// Twice the time of a read without news, until an answer begins.
     fn newest_timeout(&self) -> Duration {
-        match self.shared.is_informed() {
+        match self.shared.is_initialized() {
             true => self.shared.answer_slack(self.topic) * 2,
             false => CALL_TIMEOUT,
         }
     }
 
     async fn read_from(&mut self, next: Position) -> Step<()> {
-        let wait = self.shared.next_wait(self.topic);
+        let wait = self.shared.next_poll_wait(self.topic);
         let timeout = wait + self.shared.answer_slack(self.topic);
         let call = self
             .shared
             .protocol()
             .read_call(self.topic, next.offset, wait);
-        let wakes = self.shared.wakes();
+        let wakes = self.shared.watch_wakeups();
         let (answer, begun_after) = self.call(&call, timeout).await?;
-        self.shared.look_for_suspension();
+        self.shared.check_suspension();
         if wakes.has_changed().unwrap_or(false) {
             return Err(Interrupted::Suspended);
         }
@@ -316,11 +316,11 @@
         let read_to = Position::new(era, batch.next);
         let delay = begun_after.saturating_sub(wait);
         if self.topic == Topic::Operator {
-            self.shared.read_evacuations(&batch.records, read_to);
+            self.shared.apply_evacuations(&batch.records, read_to);
             self.shared
-                .read_rollouts(&batch.records, era, Freshness::Fresh);
+                .apply_rollouts(&batch.records, era, Freshness::Fresh);
         }
-        self.shared.log_answered(self.topic, delay);
+        self.shared.record_log_answer(self.topic, delay);
         match self.topic {
             Topic::Operator => self.take_operator(&batch.records).await,
             Topic::Upstreams => self.take_upstreams(&batch.records, read_to),
@@ -340,7 +340,7 @@
         let shared = &self.shared;
         let topic = self.topic;
         let watch = |arrival| {
-            shared.log_progressed(topic);
+            shared.record_log_progress(topic);
             match arrival {
                 Arrival::Head(head) => {
                     begun_after = began.elapsed();
@@ -380,7 +380,7 @@
             changes.extend(change);
         }
         self.shared.directory(|directory| directory.advance(next));
-        self.shared.directory_changes(changes, ToldBy::Own("log"));
+        self.shared.record_changes(changes, ToldBy::Own("log"));
     }
 
     fn take_all_upstreams(&self, records: &[Record], end: Position) {
@@ -395,7 +395,7 @@
         let changes = self
             .shared
             .directory(|directory| directory.replace(now, listed, end));
-        self.shared.directory_changes(changes, ToldBy::Own("log"));
+        self.shared.record_changes(changes, ToldBy::Own("log"));
     }
 }
 
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -22,7 +22,7 @@
 
 /// The history of the log that an answer is of.
 pub(super) fn era_of(shared: &Shared, headers: &HeaderMap) -> Step<Era> {
-    shared.era_of_answer(headers).map_err(|Outdated| {
+    shared.check_answer_era(headers).map_err(|Outdated| {
         Interrupted::Unavailable("an answer from before the log's return".to_owned())
     })
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -55,9 +55,9 @@
 
 /// Sends and receives datagrams for ever.
 pub async fn run(shared: Shared, socket: UdpSocket) {
-    let mut news = shared.news_watch();
-    let mut asks = shared.asks_watch();
-    let mut changes_read = shared.changes_read_watch();
+    let mut news = shared.watch_announcements();
+    let mut asks = shared.watch_load_queries();
+    let mut changes_read = shared.watch_read_changes();
     let mut spread = Spread::default();
     let mut buffer = vec![0; 2 * DATAGRAM_BYTES_MAX];
     let mut rounds = Rounds::new();
@@ -65,7 +65,7 @@
     loop {
         tokio::select! {
             received = receive_from(&socket, receives_at, &mut buffer) => {
-                shared.look_for_suspension();
+                shared.check_suspension();
                 let mut received = Some(received);
                 while let Some(datagram) = received {
                     match datagram {
@@ -230,15 +230,15 @@
     let mut datagram = Datagram {
         config: shared.config_version(),
         log_era: shared.log_era(),
-        evacuations: shared.told_evacuations(),
-        rollouts: shared.told_rollouts(),
-        evidence: ToldTrials::OfHost(shared.evidences(|evidences| evidences.own(now))),
-        reading: shared.reading(),
-        unreadable: shared.unreadable(),
+        evacuations: shared.announced_evacuations(),
+        rollouts: shared.announced_rollouts(),
+        evidence: ToldTrials::OfHost(shared.rollout_evidence(|evidences| evidences.own(now))),
+        reading: shared.read_topics(),
+        unreadable: shared.unreadable_topics(),
         peer_port: settings.peer_address.port(),
         loads: ToldLoads::OfHost(shared.loads().with(|loads| loads.own())),
         moving: shared.turns().with(|turns| turns.own()),
-        unreachable: shared.unreachable(),
+        unreachable: shared.unreachable_upstreams(),
         suspects: shared.suspects(|suspects| suspects.tell(now)),
         hosts: shared.peers(|peers| peers.some(now)),
         lacks_hosts: shared.peers(|peers| peers.lacks_hosts()),
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -71,7 +71,7 @@
         shared: &Shared,
         now: Time,
     ) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
-        let mut visits = shared.visits();
+        let mut visits = shared.own_remote_loads();
         for data_centre in self.told_visits.keys() {
             visits.entry(data_centre.clone()).or_default();
         }
@@ -150,8 +150,8 @@
     if far.is_due(now) {
         let partners = shared.peers(|peers| peers.far_partners(now));
         for (data_centre, partners) in partners {
-            let loads = shared.home_loads(&data_centre);
-            let evidence = shared.evidences(|evidences| evidences.data_centre(now));
+            let loads = shared.local_loads(&data_centre);
+            let evidence = shared.rollout_evidence(|evidences| evidences.data_centre(now));
             let datagram = datagram.of_data_centre(loads, evidence);
             send(socket, &encode(datagram), &partners).await;
         }
@@ -161,7 +161,7 @@
 /// Asks other data centres whose words are old what runs at their upstreams.
 pub(super) async fn ask(shared: &Shared, socket: &UdpSocket) {
     let now = shared.now();
-    let data_centres = shared.data_centres_to_ask(now);
+    let data_centres = shared.data_centres_to_query(now);
     if data_centres.is_empty() {
         return;
     }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -64,19 +64,19 @@
         line.with("peer", datagram.host.as_str())
             .with("address", from.to_string())
             .with("data_centre", datagram.data_centre.as_str())
-            .with("hosts", shared.hosts())
+            .with("hosts", shared.live_hosts())
             .write();
     }
-    shared.hear_era(datagram.log_era, datagram.host.as_str());
-    shared.hear_evacuations(&datagram.evacuations, datagram.host.as_str());
-    shared.hear_rollouts(&datagram.rollouts, datagram.host.as_str());
+    shared.receive_era(datagram.log_era, datagram.host.as_str());
+    shared.receive_evacuations(&datagram.evacuations, datagram.host.as_str());
+    shared.receive_rollouts(&datagram.rollouts, datagram.host.as_str());
     for upstream in &datagram.leaving {
-        shared.witness_leaving(upstream, datagram.host.as_str());
+        shared.observe_leaving(upstream, datagram.host.as_str());
     }
     if datagram.data_centre == shared.settings().data_centre {
-        shared.hear_unreachable(&datagram.host, &datagram.unreachable);
+        shared.receive_unreachable(&datagram.host, &datagram.unreachable);
     }
-    shared.hear_suspects(datagram.host.as_str(), &datagram.suspects);
+    shared.receive_suspects(datagram.host.as_str(), &datagram.suspects);
     let told = ToldPosition {
         host: &datagram.host,
         position: datagram.upstreams,
@@ -100,7 +100,7 @@
         peerfetch::fetch_soon(shared, upstreams, fetch_wait(shared));
     }
     if datagram.asks {
-        let loads = shared.home_loads(&data_centre);
+        let loads = shared.local_loads(&data_centre);
         return Some(own_datagram(shared, now).that_answers(loads));
     }
     let lacks_hosts = acquaintance.lacks_hosts;
@@ -110,7 +110,7 @@
 /// Takes changes that came over others, and passes on what was new.
 async fn take_spread(shared: &Shared, socket: &UdpSocket, told: &ToldChanges) {
     let now = shared.now();
-    shared.hear_era(told.log_era, told.host.as_str());
+    shared.receive_era(told.log_era, told.host.as_str());
     let is_new = told.position > shared.directory(|directory| directory.position());
     if !is_new {
         return;
@@ -140,7 +140,7 @@
     let is_word = matches!(teller, Teller::DataCentre(_));
     shared.loads().with(|board| board.hear(now, teller, loads));
     if is_word {
-        shared.word_heard();
+        shared.notify_load_report();
     }
 }
 
@@ -158,7 +158,7 @@
         ToldTrials::OfDataCentre(told) => (Teller::DataCentre(data_centre.clone()), told),
     };
     if !told.is_empty() {
-        shared.evidences(|evidences| evidences.hear(now, teller, told));
+        shared.rollout_evidence(|evidences| evidences.hear(now, teller, told));
     }
 }
 
@@ -208,7 +208,7 @@
         }
         same
     });
-    shared.directory_changes(changes, ToldBy::Host(told.host.as_str()));
+    shared.record_changes(changes, ToldBy::Host(told.host.as_str()));
     !same && !told.has_more_changes
 }
 
@@ -219,7 +219,7 @@
     if shared.is_reading(Topic::Operator) {
         OWN_READING_FIRST
     } else if shared.is_ready() {
-        let hosts = u32::try_from(shared.hosts()).unwrap_or(u32::MAX);
+        let hosts = u32::try_from(shared.live_hosts()).unwrap_or(u32::MAX);
         let spread = LISTENER_SPREAD.max(LISTENER_SPREAD_PER_HOST.saturating_mul(hosts));
         spread.min(LISTENER_SPREAD_MAX).mul_f64(rand::random())
     } else {
--- a/src/gateway/gossip/spread.rs
+++ b/src/gateway/gossip/spread.rs
@@ -102,7 +102,7 @@
 /// Whether changes are too many for one host to tell all others.
 pub(super) fn is_much(shared: &Shared, changes: &[Change]) -> bool {
     let parts = changes.len().div_ceil(PART_CHANGES);
-    parts * shared.hosts() > DIRECT_MAX
+    parts * shared.live_hosts() > DIRECT_MAX
 }
 
 /// Sends changes to the hosts behind this one in the tree of its data centre.
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -178,7 +178,7 @@
         let began = Instant::now();
         let gate = self.shared.gate().clone();
         let cut_at = began + self.shared.settings().grace.saturating_sub(EXIT_MARGIN);
-        self.shared.stop_at(cut_at);
+        self.shared.begin_shutdown(cut_at);
         let line = self.shared.log().line(EventCode::ShutdownBegan);
         line.with("in_flight", gate.in_flight()).write();
         let quiet_from = (began + BALANCER_NOTICES).min(cut_at);
@@ -268,7 +268,7 @@
 }
 
 fn ready(shared: &Shared) -> HttpResponse {
-    shared.look_for_suspension();
+    shared.check_suspension();
     match shared.is_ready() {
         true => HttpResponse::Ok().finish(),
         false => HttpResponse::ServiceUnavailable().finish(),
@@ -282,7 +282,7 @@
             telemetry::set_log_age(topic.name(), age);
         }
     }
-    telemetry::set_config_version(shared.config_version(), shared.newest_version_heard());
+    telemetry::set_config_version(shared.config_version(), shared.newest_known_version());
     telemetry::set_config_behind(shared.behind_for().unwrap_or_default());
     let now = shared.now();
     let (held_back, known) = shared.suspects(|suspects| suspects.count(now));
@@ -297,19 +297,19 @@
 async fn lapse(shared: Shared) {
     loop {
         tick(LAPSE_INTERVAL).await;
-        shared.look_for_suspension();
+        shared.check_suspension();
         let now = shared.now();
         shared.loads().with(|loads| loads.lapse(now));
         shared.review_suspects();
         shared.review_rollouts();
         let gone = shared.directory(|directory| directory.lapse(now));
-        shared.note_lapsed(gone);
-        shared.lapse_evacuations();
-        shared.lapse_cold();
-        shared.lapse_reported_loads();
-        shared.note_hearsay();
-        shared.look_for_cut();
-        shared.look_for_newer();
+        shared.record_expired(gone);
+        shared.expire_evacuations();
+        shared.expire_cold_sends();
+        shared.expire_reported_loads();
+        shared.log_relayed_changes();
+        shared.check_partition();
+        shared.track_newer_version();
     }
 }
 
--- a/src/gateway/hostlisting.rs
+++ b/src/gateway/hostlisting.rs
@@ -30,11 +30,11 @@
     let mut learnt_at: Option<Instant> = None;
     loop {
         tokio::time::sleep(HOSTS_CHECK).await;
-        let is_alone = shared.hosts() <= HOSTS_ENOUGH;
+        let is_alone = shared.live_hosts() <= HOSTS_ENOUGH;
         // What was written before the log's return may be lost.
         let era = shared.log_era();
         let is_listed = listed_in == Some(era);
-        let lists = is_alone || shared.is_lookout();
+        let lists = is_alone || shared.is_log_prober();
         if !is_listed && lists && list_host(&shared, &mut client).await {
             listed_in = Some(era);
         }
--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -74,7 +74,7 @@
     seeds.shuffle(&mut rand::rng());
     let asks_from = Instant::now() + SEED_FIRST_PAUSE;
     let state = reach(&seeds).await;
-    shared.set_seeds(state);
+    shared.set_seed_state(state);
     let line = shared.log().line(EventCode::SeedsTried);
     line.with("seeds", seeds.len())
         .with("outcome", state.name())
@@ -82,7 +82,7 @@
     tokio::time::sleep_until(asks_from).await;
     while !shared.is_ready() {
         // The more hosts there are, the later each asks, and those that others have told by then don't.
-        let spread = SEED_SPREAD_PER_HOST * shared.told_hosts();
+        let spread = SEED_SPREAD_PER_HOST * shared.fleet_size_estimate();
         tokio::time::sleep(spread.mul_f64(rand::random())).await;
         if !shared.is_reading(Topic::Operator) && !hears_all(&shared) {
             ask_each(&shared, &seeds).await;
@@ -150,13 +150,13 @@
 /// Keeps a request of a caller who gives it `timeout` while the host has just started and knows
 /// nothing yet.
 pub(crate) async fn wait_until_informed(shared: &Shared, timeout: Duration) {
-    if shared.is_informed() {
+    if shared.is_initialized() {
         return;
     }
     let age = Duration::from_micros(shared.now().as_us());
     let until = Instant::now() + patience(age, timeout);
-    let mut news = shared.news_watch();
-    while !shared.is_informed() && Instant::now() < until {
+    let mut news = shared.watch_announcements();
+    while !shared.is_initialized() && Instant::now() < until {
         tokio::select! {
             _ = news.changed() => {}
             () = tokio::time::sleep_until(until) => {}
@@ -168,10 +168,10 @@
 /// knows by then what changed meanwhile.
 pub(crate) async fn wait_until_awake(shared: &Shared, timeout: Duration) -> bool {
     let until = Instant::now() + patience(Duration::ZERO, timeout);
-    while shared.is_waking() && Instant::now() < until {
+    while shared.is_resuming() && Instant::now() < until {
         tokio::time::sleep(WAKING_CHECK).await;
     }
-    !shared.is_waking()
+    !shared.is_resuming()
 }
 
 /// How long a request waits at a host of this age.
--- a/src/gateway/line.rs
+++ b/src/gateway/line.rs
@@ -175,7 +175,7 @@
 
 impl Ticket {
     fn join(shared: &Shared, admitted: &Admitted, tokens: u32) -> Self {
-        let board = shared.lines().clone();
+        let board = shared.queues().clone();
         let customer = admitted.customer.as_ref();
         let number =
             board.with(|lines| lines.join(&admitted.service, admitted.priority, customer, tokens));
@@ -208,11 +208,11 @@
     let mut reserved: Option<Reserved> = None;
     loop {
         // Upstreams may crash under a repeat while this one waits.
-        if let Some(refusal) = shared.held_back(admitted) {
+        if let Some(refusal) = shared.refuse_suspect(admitted) {
             return Err(refusal);
         }
-        shared.look_for_suspension();
-        if shared.is_waking() {
+        shared.check_suspension();
+        if shared.is_resuming() {
             tokio::time::sleep(LOOK_INTERVAL).await;
             continue;
         }
@@ -239,7 +239,7 @@
         }
         if !has_asked && rests_on_old_words(shared, &verdict) {
             has_asked = true;
-            shared.ask_far_loads().await;
+            shared.query_remote_loads().await;
             continue;
         }
         // A version that is tried is no reason to wait.
@@ -279,7 +279,7 @@
         let tokens = place::tokens(need);
         let upstream = best.upstream.id.clone();
         let occupied = shared.loads().occupy(&upstream, tokens, 0);
-        shared.tell_news();
+        shared.announce_now();
         Some(Reserved {
             upstream,
             tokens,
@@ -308,7 +308,7 @@
         }
         Verdict::Wait | Verdict::Refuse(_) => true,
     };
-    leaves_home && !shared.data_centres_to_ask(shared.now()).is_empty()
+    leaves_home && !shared.data_centres_to_query(shared.now()).is_empty()
 }
 
 /// What a decision about one that waits rests on.
@@ -323,7 +323,7 @@
 impl Believed {
     fn new(shared: &Shared, ticket: &Ticket, candidates: &[Candidate]) -> Self {
         let (ahead_tokens, pace) = shared
-            .lines()
+            .queues()
             .with(|lines| (lines.ahead_tokens(ticket.number), lines.pace.clone()));
         let taken = candidates.iter();
         Believed {
@@ -331,7 +331,7 @@
             taken_tokens: taken
                 .map(|candidate| u64::from(candidate.load.tokens))
                 .sum(),
-            hosts: shared.hosts(),
+            hosts: shared.live_hosts(),
             engines: candidates.len(),
             pace,
         }
@@ -361,7 +361,7 @@
             .with("engines", self.engines)
             .with("hosts", self.hosts)
             .with("turnover_ms", self.pace.turnover().as_millis() as u64)
-            .with("far_counts", shared.far_counts().name())
+            .with("far_counts", shared.remote_counts().name())
             .write();
     }
 }
--- a/src/gateway/ownword.rs
+++ b/src/gateway/ownword.rs
@@ -32,7 +32,7 @@
 pub async fn ask_while_blind(shared: Shared) {
     loop {
         tick(ASK_INTERVAL).await;
-        if !shared.hears_log(Topic::Upstreams) {
+        if !shared.follows_topic(Topic::Upstreams) {
             let engines = engines_to_ask(&shared);
             join_all(engines.iter().map(|engine| ask(&shared, engine))).await;
         }
@@ -69,14 +69,14 @@
     match client.call(&call, ASK_TIMEOUT).await {
         Ok((200, body)) => take_report(shared, engine, &body),
         Ok((status, _)) => note_no_report(shared, engine, &format!("status {status}")),
-        Err(error) => shared.upstream_unreachable(&engine.id, &error.to_string()),
+        Err(error) => shared.record_unreachable(&engine.id, &error.to_string()),
     }
 }
 
 fn take_report(shared: &Shared, engine: &Upstream, body: &[u8]) {
     match shared.protocol().decode_report(body) {
         Ok(report) if report.leaving => {
-            shared.witness_leaving(&teller(&engine.id, &report), "its own report");
+            shared.observe_leaving(&teller(&engine.id, &report), "its own report");
         }
         Ok(_) => {}
         Err(error) => note_no_report(shared, engine, &error.to_string()),
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -163,8 +163,8 @@
 }
 
 fn page(shared: &Shared, changed_from: Option<Position>) -> Result<Bytes> {
-    let evacuations = shared.told_evacuations();
-    let rollouts = shared.told_rollouts();
+    let evacuations = shared.announced_evacuations();
+    let rollouts = shared.announced_rollouts();
     let page = shared.directory(|directory| -> Result<UpstreamsPage> {
         Ok(UpstreamsPage {
             evacuations,
@@ -322,8 +322,8 @@
         UpstreamsTold::Changes(_) => Vec::new(),
     };
     let now = shared.now();
-    shared.hear_evacuations(&page.evacuations, &client.peer.to_string());
-    shared.hear_rollouts(&page.rollouts, &client.peer.to_string());
+    shared.receive_evacuations(&page.evacuations, &client.peer.to_string());
+    shared.receive_rollouts(&page.rollouts, &client.peer.to_string());
     let (changes, is_same) = shared.directory(|directory| {
         if page.position <= directory.position() {
             return (Vec::new(), true);
@@ -342,7 +342,7 @@
         }
         (changes, is_same)
     });
-    shared.directory_changes(changes, ToldBy::Host(&client.peer.to_string()));
+    shared.record_changes(changes, ToldBy::Host(&client.peer.to_string()));
     Ok(match is_same {
         true => Outcome::Taken,
         false => Outcome::Differs,
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -86,20 +86,21 @@
         };
         let key = (rollout.ordered_at, step);
         let due_since = *self.due_since.entry(key).or_insert_with(Instant::now);
-        if due_since.elapsed() < self.shared.leaves_step_for(&rollout.service) {
+        if due_since.elapsed() < self.shared.rollout_step_delay(&rollout.service) {
             return Ok(());
         }
         match step {
             Step::Begin => self.tell(rollout, RolloutState::Running).await,
             Step::Shift => {
                 let reason = "it answers as the others do";
-                self.shared.rollout_rises(rollout, Stage::Shift, reason);
+                self.shared.advance_rollout(rollout, Stage::Shift, reason);
                 Ok(())
             }
             Step::Complete => self.tell(rollout, RolloutState::Complete).await,
             Step::Revert => {
                 if let Due::GiveUp(reason) = &rollout.due {
-                    self.shared.rollout_rises(rollout, Stage::Reverting, reason);
+                    self.shared
+                        .advance_rollout(rollout, Stage::Reverting, reason);
                 }
                 self.tell(rollout, RolloutState::Reverted).await
             }
@@ -164,7 +165,7 @@
             RolloutState::Complete => Stage::Complete,
             RolloutState::Reverted => Stage::Reverted,
         };
-        self.shared.rollout_rises(rollout, stage, reason);
+        self.shared.advance_rollout(rollout, stage, reason);
     }
 }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -177,7 +177,7 @@
             .with("message", refusal.message.as_str())
             .write();
         telemetry::count_refusal(Some(&self.service), refusal.code);
-        refuse::answer(refusal, shared.sends_callers_away())
+        refuse::answer(refusal, shared.closes_connections())
     }
 
     /// The refusal of a request for which no upstream is left after `tries`; it has not run.
@@ -247,7 +247,7 @@
         .map(|upstream| Candidate {
             load: loads.with(|loads| loads.at(&upstream.id)),
             reported: shared.reported_load(now, &upstream.id),
-            doubtful: shared.is_doubtful(now, &upstream.id) || cut.contains(&upstream.data_centre),
+            doubtful: shared.is_avoided(now, &upstream.id) || cut.contains(&upstream.data_centre),
             upstream,
         })
         .collect()
@@ -273,7 +273,7 @@
     let here = &shared.settings().data_centre;
     let mut unreachable: BTreeMap<&DataCentre, usize> = BTreeMap::new();
     for upstream in ready {
-        if upstream.data_centre != *here && shared.is_passed_over(now, &upstream.id) {
+        if upstream.data_centre != *here && shared.is_unreachable(now, &upstream.id) {
             *unreachable.entry(&upstream.data_centre).or_default() += 1;
         }
     }
@@ -307,7 +307,7 @@
     payload: web::Payload,
 ) -> Result<Admitted, HttpResponse> {
     let shared = &front.shared;
-    shared.look_for_suspension();
+    shared.check_suspension();
     let arrived = Instant::now();
     let pass = shared.gate().enter(RequestId::generate());
     let headers = forward::headers_of(http);
@@ -351,7 +351,7 @@
     let request = CallerRequest { body, ..request };
     let timeout = caller_timeout.min(route.timeout);
     let regions = allowed_regions(&route, customer.as_deref());
-    let track = shared.draw_track(&service);
+    let track = shared.choose_track(&service);
     let own_priority = customer.as_ref().and_then(|customer| customer.priority);
     let customer = customer.map(|customer| customer.name.clone());
     Ok(Admitted {
@@ -457,5 +457,5 @@
         .with("message", refusal.message.as_str())
         .write();
     telemetry::count_refusal(None, refusal.code);
-    refuse::answer(refusal, shared.sends_callers_away())
+    refuse::answer(refusal, shared.closes_connections())
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -203,7 +203,7 @@
     }
 
     /// Generations that wait for room, and the pace of engines.
-    pub(crate) fn lines(&self) -> &LineBoard {
+    pub(crate) fn queues(&self) -> &LineBoard {
         &self.0.lines
     }
 
@@ -223,65 +223,65 @@
     }
 
     /// Wakes when peers should be told something at once.
-    pub fn news_watch(&self) -> watch::Receiver<u64> {
+    pub fn watch_announcements(&self) -> watch::Receiver<u64> {
         self.0.news.subscribe()
     }
 
     /// Has the next datagram go out at once.
-    pub fn tell_news(&self) {
+    pub fn announce_now(&self) {
         self.0.news.send_modify(|count| *count += 1);
     }
 
     /// The host is stopping; what runs then is cut at `stops_at`.
-    pub fn stop_at(&self, stops_at: Instant) {
+    pub fn begin_shutdown(&self, stops_at: Instant) {
         self.0.stops_at.get_or_init(|| stops_at);
         self.gate().shut();
-        self.tell_news();
+        self.announce_now();
     }
 
     /// Time until what runs is cut, if the host is stopping.
-    pub fn stops_in(&self) -> Option<Duration> {
+    pub fn shutdown_time_left(&self) -> Option<Duration> {
         let stops_at = self.0.stops_at.get()?;
         Some(stops_at.saturating_duration_since(Instant::now()))
     }
 
     /// Whether the host can serve requests better than others.
     pub fn is_ready(&self) -> bool {
-        let is_up_to_date = self.is_informed() && !self.is_waking();
-        !self.gate().is_shutting_down() && is_up_to_date && !self.is_cut_off()
+        let is_up_to_date = self.is_initialized() && !self.is_resuming();
+        !self.gate().is_shutting_down() && is_up_to_date && !self.is_partitioned()
     }
 
     /// Whether callers do better with another host, so that their connections are closed after an
     /// answer.
-    pub(crate) fn sends_callers_away(&self) -> bool {
-        self.gate().is_shutting_down() || self.is_cut_off()
+    pub(crate) fn closes_connections(&self) -> bool {
+        self.gate().is_shutting_down() || self.is_partitioned()
     }
 
     /// Whether the host has a configuration and upstreams, and knows which of them are evacuated.
-    pub(crate) fn is_informed(&self) -> bool {
+    pub(crate) fn is_initialized(&self) -> bool {
         let knows_upstreams =
             |directory: &mut Directory| !directory.is_empty() && directory.evacuations().is_known();
         self.configuration().is_some() && self.directory(knows_upstreams)
     }
 
     /// Whether the seeds could be connected to when the host started.
-    pub(crate) fn seeds(&self) -> Seeds {
+    pub(crate) fn seed_state(&self) -> Seeds {
         *locked(&self.0.seeds)
     }
 
     /// The seeds were tried.
-    pub(crate) fn set_seeds(&self, seeds: Seeds) {
+    pub(crate) fn set_seed_state(&self, seeds: Seeds) {
         *locked(&self.0.seeds) = seeds;
     }
 
     /// Live hosts, this one among them.
-    pub fn hosts(&self) -> usize {
+    pub fn live_hosts(&self) -> usize {
         let now = self.now();
         self.peers(|peers| peers.live(now)) + 1
     }
 
     /// The most hosts that others tell of, or that this one counts; bounded to what a fleet may have.
-    pub(crate) fn told_hosts(&self) -> u32 {
+    pub(crate) fn fleet_size_estimate(&self) -> u32 {
         const HOSTS_MAX: u32 = 4_000;
         let now = self.now();
         self.peers(|peers| peers.told(now)).min(HOSTS_MAX)
@@ -300,7 +300,7 @@
     }
 
     /// How old the counts of what runs in other data centres are: few hosts tell all of it to all.
-    pub fn far_counts(&self) -> FarCounts {
+    pub fn remote_counts(&self) -> FarCounts {
         match self.is_small_fleet() {
             true => FarCounts::Fresh,
             false => FarCounts::Old,
@@ -311,12 +311,12 @@
     pub fn view(&self) -> View<'_> {
         View {
             here: &self.settings().data_centre,
-            far_counts: self.far_counts(),
+            far_counts: self.remote_counts(),
         }
     }
 
     /// Runs `use_budget` on the retry budget of a service.
-    pub fn budget<T>(
+    pub fn retry_budget<T>(
         &self,
         service: &ServiceId,
         use_budget: impl FnOnce(&mut SharedRetryBudget) -> T,
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -21,7 +21,7 @@
 
 impl Shared {
     /// Records changes of the directory and wakes whom they concern.
-    pub(crate) fn directory_changes(&self, changes: Vec<Applied>, told_by: ToldBy<'_>) {
+    pub(crate) fn record_changes(&self, changes: Vec<Applied>, told_by: ToldBy<'_>) {
         if changes.is_empty() {
             return;
         }
@@ -31,7 +31,7 @@
                 locked(&self.0.reach).forget(ended);
             }
             match told_by {
-                ToldBy::Own(source) => self.note_change(&applied, source),
+                ToldBy::Own(source) => self.log_change(&applied, source),
                 ToldBy::Host(host) => {
                     let now = self.now();
                     locked(&self.0.hearsay).note(now, host, &applied.id, applied.change);
@@ -46,7 +46,7 @@
         }
     }
 
-    fn note_change(&self, applied: &Applied, source: &str) {
+    fn log_change(&self, applied: &Applied, source: &str) {
         let id = &applied.id;
         let code = match applied.change {
             DirectoryChange::Leaving | DirectoryChange::Removed => EventCode::UpstreamLeaving,
@@ -74,7 +74,7 @@
     }
 
     /// Writes what was heard of upstreams, if it is time to.
-    pub(crate) fn note_hearsay(&self) {
+    pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
         let Some(gathered) = locked(&self.0.hearsay).take_due(now) else {
             return;
@@ -92,7 +92,7 @@
     }
 
     /// An upstream was seen leaving or gone.
-    pub fn witness_leaving(&self, upstream: &InstanceId, reason: &str) {
+    pub fn observe_leaving(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if !self.directory(|directory| directory.witness(now, upstream)) {
             return;
@@ -104,21 +104,21 @@
             .with("source", reason)
             .write();
         self.0.directory_changed.send_modify(|count| *count += 1);
-        self.tell_news();
+        self.announce_now();
     }
 
     /// Wakes at changes of the directory that this host has read for others.
-    pub(crate) fn changes_read_watch(&self) -> watch::Receiver<u64> {
+    pub(crate) fn watch_read_changes(&self) -> watch::Receiver<u64> {
         self.0.changes_read.subscribe()
     }
 
     /// Wakes at each change of the directory.
-    pub fn directory_watch(&self) -> watch::Receiver<u64> {
+    pub fn watch_directory(&self) -> watch::Receiver<u64> {
         self.0.directory_changed.subscribe()
     }
 
     /// Upstreams that were missing since an outage of the log count as gone.
-    pub fn note_lapsed(&self, lapsed: Vec<Applied>) {
-        self.directory_changes(lapsed, ToldBy::Own("missing since the log's return"));
+    pub fn record_expired(&self, lapsed: Vec<Applied>) {
+        self.record_changes(lapsed, ToldBy::Own("missing since the log's return"));
     }
 }
--- a/src/gateway/shared/coldness.rs
+++ b/src/gateway/shared/coldness.rs
@@ -39,7 +39,7 @@
     }
 
     /// A request of this host goes to an upstream.
-    pub(crate) fn sends_to(&self, upstream: &Upstream) {
+    pub(crate) fn record_send(&self, upstream: &Upstream) {
         let now = self.now();
         if self.directory(|directory| directory.is_cold(now, &upstream.id)) {
             locked(&self.0.cold_budget).spend(now, &upstream.id);
@@ -47,7 +47,7 @@
     }
 
     /// Forgets what was sent to cold upstreams and counts no more.
-    pub(crate) fn lapse_cold(&self) {
+    pub(crate) fn expire_cold_sends(&self) {
         let now = self.now();
         locked(&self.0.cold_budget).lapse(now);
     }
--- a/src/gateway/shared/evacuating.rs
+++ b/src/gateway/shared/evacuating.rs
@@ -12,14 +12,14 @@
 
 impl Shared {
     /// What this host knows of evacuations, for others.
-    pub(crate) fn told_evacuations(&self) -> ToldEvacuations {
+    pub(crate) fn announced_evacuations(&self) -> ToldEvacuations {
         let now = self.now();
         self.directory(|directory| directory.evacuations().tell(now))
     }
 
     /// Takes all records that the operators' topic of the log holds as of `end`.
-    pub(crate) fn read_all_evacuations(&self, records: &[Record], end: Position) {
-        let evacuated = self.evacuation_records(records);
+    pub(crate) fn replace_evacuations(&self, records: &[Record], end: Position) {
+        let evacuated = self.decode_evacuations(records);
         let data_centres: BTreeSet<_> = evacuated
             .into_iter()
             .filter(|record| record.is_evacuated)
@@ -30,44 +30,44 @@
             let evacuations = directory.evacuations_mut();
             evacuations.replace(now, data_centres, end)
         });
-        self.note_evacuations(&changes, "log");
+        self.report_evacuations(&changes, "log");
     }
 
     /// Takes the next records of the operators' topic, up to `read_to`.
-    pub(crate) fn read_evacuations(&self, records: &[Record], read_to: Position) {
-        let records = self.evacuation_records(records);
+    pub(crate) fn apply_evacuations(&self, records: &[Record], read_to: Position) {
+        let records = self.decode_evacuations(records);
         let changes =
             self.directory(|directory| directory.evacuations_mut().apply(&records, read_to));
-        self.note_evacuations(&changes, "log");
+        self.report_evacuations(&changes, "log");
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn hear_evacuations(&self, told: &ToldEvacuations, source: &str) {
+    pub(crate) fn receive_evacuations(&self, told: &ToldEvacuations, source: &str) {
         let now = self.now();
         let changes = self.directory(|directory| directory.evacuations_mut().hear(now, told));
-        self.note_evacuations(&changes, source);
+        self.report_evacuations(&changes, source);
     }
 
     /// Drops what an earlier history of the log said, once operators had time to write it again.
-    pub(crate) fn lapse_evacuations(&self) {
+    pub(crate) fn expire_evacuations(&self) {
         let now = self.now();
         let changes = self.directory(|directory| directory.evacuations_mut().lapse(now));
-        self.note_evacuations(&changes, "not written again since the log's return");
+        self.report_evacuations(&changes, "not written again since the log's return");
     }
 
-    fn evacuation_records(&self, records: &[Record]) -> Vec<EvacuationRecord> {
+    fn decode_evacuations(&self, records: &[Record]) -> Vec<EvacuationRecord> {
         let decoded = records.iter().filter_map(|record| {
             let value = record.value.as_deref();
             let evacuation = self.protocol().evacuation(&record.key, value)?;
             if let Some(flaw) = &evacuation.flaw {
-                self.note_flaw(&record.key, flaw);
+                self.log_bad_record(&record.key, flaw);
             }
             Some(evacuation)
         });
         decoded.collect()
     }
 
-    pub(super) fn note_flaw(&self, key: &str, flaw: &str) {
+    pub(super) fn log_bad_record(&self, key: &str, flaw: &str) {
         let line = self.log().line(EventCode::RecordSkipped);
         line.with("source", "log")
             .with("key", key)
@@ -75,7 +75,7 @@
             .write();
     }
 
-    fn note_evacuations(&self, changes: &[EvacuationChange], source: &str) {
+    fn report_evacuations(&self, changes: &[EvacuationChange], source: &str) {
         for change in changes {
             let code = match change.is_evacuated {
                 true => EventCode::DataCentreEvacuated,
@@ -93,7 +93,7 @@
                 .write();
         }
         if !changes.is_empty() {
-            self.tell_news();
+            self.announce_now();
         }
     }
 }
--- a/src/gateway/shared/farloads.rs
+++ b/src/gateway/shared/farloads.rs
@@ -22,7 +22,7 @@
 
 impl Shared {
     /// What runs at the upstreams of this data centre, but for what hosts of `receiver` run there.
-    pub(crate) fn home_loads(&self, receiver: &DataCentre) -> Vec<(InstanceKey, Load)> {
+    pub(crate) fn local_loads(&self, receiver: &DataCentre) -> Vec<(InstanceKey, Load)> {
         let here = &self.settings().data_centre;
         self.directory(|directory| {
             let is_home = |key| directory.data_centre_of(key) == Some(here);
@@ -32,7 +32,7 @@
     }
 
     /// What this host runs in other data centres.
-    pub(crate) fn visits(&self) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
+    pub(crate) fn own_remote_loads(&self) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
         let here = &self.settings().data_centre;
         let mut visits = self.directory(|directory| {
             self.loads()
@@ -43,7 +43,7 @@
     }
 
     /// Other data centres whose last word is not fresh, a few of them.
-    pub(crate) fn data_centres_to_ask(&self, now: Time) -> Vec<DataCentre> {
+    pub(crate) fn data_centres_to_query(&self, now: Time) -> Vec<DataCentre> {
         if self.is_small_fleet() {
             return Vec::new();
         }
@@ -61,7 +61,7 @@
 
     /// Asks the other data centres what runs at their upstreams, if their words are old, and waits a moment for an
     /// answer.
-    pub(crate) async fn ask_far_loads(&self) {
+    pub(crate) async fn query_remote_loads(&self) {
         let mut words = self.0.words.subscribe();
         self.0.asks.send_modify(|count| *count += 1);
         // No answer by then is as good as an old word.
@@ -69,12 +69,12 @@
     }
 
     /// Wakes when this host is to ask.
-    pub(crate) fn asks_watch(&self) -> watch::Receiver<u64> {
+    pub(crate) fn watch_load_queries(&self) -> watch::Receiver<u64> {
         self.0.asks.subscribe()
     }
 
     /// Another data centre's word has arrived.
-    pub(crate) fn word_heard(&self) {
+    pub(crate) fn notify_load_report(&self) {
         self.0.words.send_modify(|count| *count += 1);
     }
 }
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -24,19 +24,19 @@
     }
 
     /// A connection to an upstream could not be established.
-    pub fn upstream_unreachable(&self, upstream: &InstanceId, reason: &str) {
+    pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if locked(&self.0.reach).failed(now, upstream) {
             let line = self.log().line(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
                 .write();
-            self.tell_news();
+            self.announce_now();
         }
     }
 
     /// Another host of the data centre can't connect to these upstreams.
-    pub fn hear_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
+    pub fn receive_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
             if locked(&self.0.reach).hear(now, upstream) {
@@ -49,12 +49,12 @@
     }
 
     /// What this host itself can't connect to now.
-    pub fn unreachable(&self) -> Vec<InstanceId> {
+    pub fn unreachable_upstreams(&self) -> Vec<InstanceId> {
         locked(&self.0.reach).first_hand(self.now())
     }
 
     /// An upstream may say what it holds.
-    pub(crate) fn note_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
+    pub(crate) fn record_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
         if let Some(reported) = self.protocol().reported_load(headers) {
             let now = self.now();
             locked(&self.0.reported_loads).note(now, upstream.key(), reported);
@@ -71,13 +71,13 @@
     }
 
     /// Forgets what upstreams said of themselves a while ago.
-    pub(crate) fn lapse_reported_loads(&self) {
+    pub(crate) fn expire_reported_loads(&self) {
         let now = self.now();
         locked(&self.0.reported_loads).lapse(now);
     }
 
     /// A connection to an upstream was established.
-    pub fn upstream_reached(&self, upstream: &InstanceId) {
+    pub fn record_reached(&self, upstream: &InstanceId) {
         if locked(&self.0.reach).reached(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
@@ -88,7 +88,7 @@
 
     /// A request goes to an upstream. If the upstream was ejected and may be tried again, this is the
     /// trial, and no other is made until the guard is dropped.
-    pub(crate) fn trial(&self, upstream: &InstanceId) -> Trial {
+    pub(crate) fn begin_send(&self, upstream: &InstanceId) -> Trial {
         self.ejector(|ejector| ejector.sent(upstream));
         Trial {
             shared: self.clone(),
@@ -97,26 +97,26 @@
     }
 
     /// Whether requests that have another choice pass an upstream over.
-    pub(crate) fn is_doubtful(&self, now: Time, upstream: &InstanceId) -> bool {
+    pub(crate) fn is_avoided(&self, now: Time, upstream: &InstanceId) -> bool {
         let health = self.ejector(|ejector| ejector.health(now, upstream));
-        health == Health::Ejected || self.is_passed_over(now, upstream)
+        health == Health::Ejected || self.is_unreachable(now, upstream)
     }
 
     /// Whether connections to an upstream could not be established a moment ago.
-    pub(crate) fn is_passed_over(&self, now: Time, upstream: &InstanceId) -> bool {
+    pub(crate) fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
         locked(&self.0.reach).is_passed_over(now, upstream)
     }
 
     /// Whether this host is cut off from all upstreams of a service that others can reach.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         locked(&self.0.cut_off).is_cut_off()
     }
 
     /// Looks whether a cut keeps this host from a service, or has ended.
-    pub fn look_for_cut(&self) {
+    pub fn check_partition(&self) {
         let now = self.now();
         let silence = self.peers(|peers| peers.silence_outside(now));
-        let lost = || self.service_out_of_reach(now);
+        let lost = || self.unreachable_service(now);
         let Some(change) = locked(&self.0.cut_off).look(silence, lost) else {
             return;
         };
@@ -134,7 +134,7 @@
     }
 
     /// A service whose upstreams are listed and can't be connected to, all of them.
-    fn service_out_of_reach(&self, now: Time) -> Option<ServiceId> {
+    fn unreachable_service(&self, now: Time) -> Option<ServiceId> {
         let configuration = self.configuration()?;
         let mut services = configuration.services.keys();
         let is_lost = |service: &&ServiceId| {
@@ -142,13 +142,13 @@
             !ready.is_empty()
                 && ready
                     .iter()
-                    .all(|upstream| self.is_passed_over(now, &upstream.id))
+                    .all(|upstream| self.is_unreachable(now, &upstream.id))
         };
         services.find(is_lost).cloned()
     }
 
     /// A request at an upstream failed by the upstream's fault.
-    pub fn upstream_failed(&self, service: &ServiceId, upstream: &InstanceId, reason: &str) {
+    pub fn record_failure(&self, service: &ServiceId, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         let pool = self.directory(|directory| directory.ready(service).len());
         let ejected_max = pool * EJECTED_PERCENT_MAX / 100;
--- a/src/gateway/shared/inforce.rs
+++ b/src/gateway/shared/inforce.rs
@@ -45,7 +45,7 @@
 
 impl Shared {
     /// The configuration in force.
-    pub fn in_force(&self) -> Option<InForce> {
+    pub fn active_config(&self) -> Option<InForce> {
         let in_force = self.0.in_force.read();
         in_force.unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -67,10 +67,10 @@
     pub async fn offer_configuration(&self, key: &str, document: &Bytes, source: &str) {
         match self.decode(key, document).await {
             Ok(Some(configuration)) => {
-                self.put_in_force(configuration, key, document, OnceLock::new(), source);
+                self.activate(configuration, key, document, OnceLock::new(), source);
             }
             Ok(None) => {}
-            Err(error) => self.skip_configuration(key, source, &error),
+            Err(error) => self.log_skipped_document(key, source, &error),
         }
     }
 
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    pub(crate) async fn offer_cut(&self, cut: CutDocument, source: &str) -> Result<()> {
+    pub(crate) async fn offer_pieces(&self, cut: CutDocument, source: &str) -> Result<()> {
         let key = cut.manifest().key.clone();
         let document = cut.document().clone();
         let told = cut.manifest().version;
@@ -88,7 +88,7 @@
             Some(_) => return Err(Error::Document(format!("it is not version {told}"))),
             None => return Err(Error::Document(format!("{key} names no configuration"))),
         };
-        self.put_in_force(configuration, &key, &document, OnceLock::from(cut), source);
+        self.activate(configuration, &key, &document, OnceLock::from(cut), source);
         Ok(())
     }
 
@@ -107,7 +107,7 @@
             .map_err(|error| Error::Document(error.to_string()))?
     }
 
-    fn skip_configuration(&self, key: &str, source: &str, error: &Error) {
+    fn log_skipped_document(&self, key: &str, source: &str, error: &Error) {
         let line = self.log().line(EventCode::RecordSkipped);
         line.with("source", source)
             .with("key", key)
@@ -115,7 +115,7 @@
             .write();
     }
 
-    fn put_in_force(
+    fn activate(
         &self,
         configuration: Configuration,
         key: &str,
@@ -143,14 +143,14 @@
             });
             self.0.config_version.store(version, Ordering::Relaxed);
         }
-        self.drop_assembly_of(version);
-        let behind = self.look_for_newer();
+        self.drop_assembly(version);
+        let behind = self.track_newer_version();
         let line = self.log().line(EventCode::ConfigReady);
         line.with("version", version)
             .with("bytes", document.len())
             .with("source", source)
             .with_some("behind_ms", behind.map(|behind| behind.as_millis() as u64))
             .write();
-        self.tell_news();
+        self.announce_now();
     }
 }
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -25,17 +25,17 @@
     /// # Errors
     ///
     /// [`Outdated`] if the log has returned from an older copy since.
-    pub(crate) fn era_of_answer(&self, headers: &HeaderMap) -> Result<Era, Outdated> {
+    pub(crate) fn check_answer_era(&self, headers: &HeaderMap) -> Result<Era, Outdated> {
         let known = self.log_era();
         match ToldEra::of(headers, &self.protocol().headers().log_era) {
             ToldEra::Era(era) if era < known => Err(Outdated),
             ToldEra::Era(era) => {
-                self.hear_era(era, "log");
+                self.receive_era(era, "log");
                 Ok(era)
             }
             ToldEra::Nothing => Ok(known),
             ToldEra::Unreadable => {
-                self.note_bad_era();
+                self.log_bad_era();
                 Ok(known)
             }
         }
@@ -43,7 +43,7 @@
 
     /// The log, or another host, tells of a history. Of a later one than is known all positions before are
     /// void: what is listed is read anew, and upstreams whose entries were lost have time to list themselves again.
-    pub(crate) fn hear_era(&self, era: Era, source: &str) {
+    pub(crate) fn receive_era(&self, era: Era, source: &str) {
         let known = {
             let mut log_era = locked(&self.0.log_era);
             let known = *log_era;
@@ -65,11 +65,11 @@
             self.suspects(|suspects| suspects.write_again());
             telemetry::count(Metric::LogReturnsTotal);
         }
-        self.tell_news();
+        self.announce_now();
     }
 
     /// Named at most once in a history, and counted.
-    fn note_bad_era(&self) {
+    fn log_bad_era(&self) {
         telemetry::count(Metric::BadErasTotal);
         let known = self.log_era();
         if locked(&self.0.bad_era_in).replace(known) == Some(known) {
--- a/src/gateway/shared/logreading.rs
+++ b/src/gateway/shared/logreading.rs
@@ -12,7 +12,7 @@
 
 impl Shared {
     /// Whether this host's last read of a topic came to nothing.
-    pub fn is_log_lost(&self, topic: Topic) -> bool {
+    pub fn is_log_unreachable(&self, topic: Topic) -> bool {
         locked(&self.0.reading).is_lost(topic)
     }
 
@@ -24,7 +24,7 @@
     }
 
     /// Whether this host is one of those that look for a log that is away.
-    pub fn is_lookout(&self) -> bool {
+    pub fn is_log_prober(&self) -> bool {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.is_lookout(now, &settings.host, &settings.data_centre))
@@ -33,12 +33,12 @@
     /// Whether this host follows a topic of the log and is answered.
     pub fn is_reading(&self, topic: Topic) -> bool {
         let now = self.now();
-        let wait = self.wait_for_news();
+        let wait = self.poll_wait();
         locked(&self.0.reading).is_answered(now, topic, wait) && self.is_reader(topic)
     }
 
     /// What this host reads of the log, for its peers.
-    pub fn reading(&self) -> Topics {
+    pub fn read_topics(&self) -> Topics {
         Topics {
             operator: self.is_reading(Topic::Operator),
             upstreams: self.is_reading(Topic::Upstreams),
@@ -46,8 +46,8 @@
     }
 
     /// What this host should read of the log and can't, for its peers.
-    pub fn unreadable(&self) -> Topics {
-        let is_unreadable = |topic| self.is_log_lost(topic) && self.is_reader(topic);
+    pub fn unreadable_topics(&self) -> Topics {
+        let is_unreadable = |topic| self.is_log_unreachable(topic) && self.is_reader(topic);
         Topics {
             operator: is_unreadable(Topic::Operator),
             upstreams: is_unreadable(Topic::Upstreams),
@@ -56,19 +56,19 @@
 
     /// Whether what changes in a topic of the log reaches this host: it reads the topic itself, or
     /// heard a host that does a moment ago.
-    pub fn hears_log(&self, topic: Topic) -> bool {
-        self.is_reading(topic) || self.hears_reader(topic)
+    pub fn follows_topic(&self, topic: Topic) -> bool {
+        self.is_reading(topic) || self.has_live_reader(topic)
     }
 
     /// Whether a host that reads a topic of the log was heard a moment ago.
-    pub(crate) fn hears_reader(&self, topic: Topic) -> bool {
+    pub(crate) fn has_live_reader(&self, topic: Topic) -> bool {
         let now = self.now();
         self.peers(|peers| peers.hears_reader(now, topic))
     }
 
     /// Whether other hosts rely on what this one reads.
     pub(crate) fn reads_for_others(&self) -> bool {
-        let reading = self.reading();
+        let reading = self.read_topics();
         self.audience() == Audience::Others && (reading.operator || reading.upstreams)
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Whether this host leaves the reading of a topic to others.
-    pub(crate) fn leaves_reading(&self, topic: Topic) -> bool {
+    pub(crate) fn delegates_reading(&self, topic: Topic) -> bool {
         let now = self.now();
         !self.is_reader(topic)
             && !self.is_overdue(topic)
@@ -88,7 +88,7 @@
 
     /// Whether the configuration that this host believes to be in force may be stale.
     pub fn may_be_stale(&self) -> bool {
-        !self.hears_log(Topic::Operator) || self.is_behind()
+        !self.follows_topic(Topic::Operator) || self.is_behind()
     }
 
     fn audience(&self) -> Audience {
@@ -99,16 +99,16 @@
     }
 
     /// How long this host's reads wait at the log for news.
-    fn wait_for_news(&self) -> Duration {
+    fn poll_wait(&self) -> Duration {
         reading::wait_for_news(self.settings().staleness_max, self.audience())
     }
 
     /// How long the next read of a topic waits at the log: not at all while the topic is lost, so that
     /// an answer tells at once that it is back.
-    pub(crate) fn next_wait(&self, topic: Topic) -> Duration {
-        match self.is_log_lost(topic) {
+    pub(crate) fn next_poll_wait(&self, topic: Topic) -> Duration {
+        match self.is_log_unreachable(topic) {
             true => Duration::ZERO,
-            false => self.wait_for_news(),
+            false => self.poll_wait(),
         }
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// The log answered a read of a topic, `delay` after the wait that was asked for.
-    pub(crate) fn log_answered(&self, topic: Topic, delay: Duration) {
+    pub(crate) fn record_log_answer(&self, topic: Topic, delay: Duration) {
         let now = self.now();
         let Some(away) = locked(&self.0.reading).answered(now, topic, delay) else {
             return;
@@ -131,16 +131,16 @@
             .with("away_ms", away.as_millis() as u64)
             .with("version", self.config_version())
             .write();
-        self.tell_news();
+        self.announce_now();
     }
 
     /// More of the log's answer to a read of a topic has arrived.
-    pub(crate) fn log_progressed(&self, topic: Topic) {
+    pub(crate) fn record_log_progress(&self, topic: Topic) {
         locked(&self.0.reading).progressed(self.now(), topic);
     }
 
     /// A read of a topic that took `waited` came to nothing.
-    pub(crate) fn log_failed(&self, topic: Topic, waited: Duration, reason: &str) {
+    pub(crate) fn record_log_failure(&self, topic: Topic, waited: Duration, reason: &str) {
         let now = self.now();
         let (is_news, age) = {
             let mut reading = locked(&self.0.reading);
@@ -160,7 +160,7 @@
             .with("version", self.config_version())
             .write();
         // Another host reads in this one's place as soon as it hears of it.
-        self.tell_news();
+        self.announce_now();
     }
 
     /// Time since the log last answered a read of a topic.
--- a/src/gateway/shared/newer.rs
+++ b/src/gateway/shared/newer.rs
@@ -15,17 +15,17 @@
     /// Whether another host has told of a newer version than the one in force here. 378 callers of a day
     /// were answered 404 for routes of a version that their hosts had heard of and could not fetch.
     pub(crate) fn is_behind(&self) -> bool {
-        self.newest_version_heard() > self.config_version()
+        self.newest_known_version() > self.config_version()
     }
 
     /// The newest version that a live host has told of; 0 if none has.
-    pub(crate) fn newest_version_heard(&self) -> u64 {
+    pub(crate) fn newest_known_version(&self) -> u64 {
         let now = self.now();
         self.peers(|peers| peers.newest_version(now))
     }
 
     /// Notes whether a newer version is known of. Tells for how long one was until now.
-    pub(crate) fn look_for_newer(&self) -> Option<Duration> {
+    pub(crate) fn track_newer_version(&self) -> Option<Duration> {
         let now = self.now();
         let is_behind = self.is_behind();
         self.catch_up(|catch_up| {
@@ -84,7 +84,7 @@
     }
 
     /// Drops what has arrived of `version` or an older one, which is of no use once that is in force.
-    pub(crate) fn drop_assembly_of(&self, version: u64) {
+    pub(crate) fn drop_assembly(&self, version: u64) {
         let mut assembly = locked(&self.0.assembly);
         *assembly = assembly
             .take()
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rolling.rs
@@ -47,18 +47,21 @@
 
 impl Shared {
     /// Runs `use_evidences` on what was seen of versions that are tried.
-    pub(crate) fn evidences<T>(&self, use_evidences: impl FnOnce(&mut EvidenceBoard) -> T) -> T {
+    pub(crate) fn rollout_evidence<T>(
+        &self,
+        use_evidences: impl FnOnce(&mut EvidenceBoard) -> T,
+    ) -> T {
         use_evidences(&mut locked(&self.0.evidences))
     }
 
     /// What this host knows of roll-outs, for others.
-    pub(crate) fn told_rollouts(&self) -> Vec<ToldRollout> {
+    pub(crate) fn announced_rollouts(&self) -> Vec<ToldRollout> {
         let now = self.now();
         self.directory(|directory| directory.rollouts().tell(now))
     }
 
     /// Takes records of the operators' topic.
-    pub(crate) fn read_rollouts(&self, records: &[Record], era: Era, freshness: Freshness) {
+    pub(crate) fn apply_rollouts(&self, records: &[Record], era: Era, freshness: Freshness) {
         let now = self.now();
         let is_fresh = freshness == Freshness::Fresh;
         let mut changes = Vec::new();
@@ -68,7 +71,7 @@
                 continue;
             };
             if let Some(flaw) = &rollout.flaw {
-                self.note_flaw(&record.key, flaw);
+                self.log_bad_record(&record.key, flaw);
             }
             let at = Position::new(era, record.offset);
             let read = |directory: &mut Directory| {
@@ -77,30 +80,30 @@
             };
             changes.extend(self.directory(read));
         }
-        self.note_rollouts(&changes, "log", None);
+        self.report_rollouts(&changes, "log", None);
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn hear_rollouts(&self, told: &[ToldRollout], source: &str) {
+    pub(crate) fn receive_rollouts(&self, told: &[ToldRollout], source: &str) {
         if told.is_empty() {
             return;
         }
         let now = self.now();
         let changes = self.directory(|directory| directory.rollouts_mut().hear(now, told));
-        self.note_rollouts(&changes, source, None);
+        self.report_rollouts(&changes, source, None);
     }
 
     /// An order has come further, by what this host saw or did.
-    pub(crate) fn rollout_rises(&self, rollout: &OpenRollout, stage: Stage, reason: &str) {
+    pub(crate) fn advance_rollout(&self, rollout: &OpenRollout, stage: Stage, reason: &str) {
         let now = self.now();
         let change = self.directory(|directory| {
             let rollouts = directory.rollouts_mut();
             rollouts.rise(now, &rollout.service, rollout.ordered_at, stage)
         });
-        self.note_rollouts(change.as_slice(), "own", Some(reason));
+        self.report_rollouts(change.as_slice(), "own", Some(reason));
     }
 
-    fn note_rollouts(&self, changes: &[RolloutChange], source: &str, reason: Option<&str>) {
+    fn report_rollouts(&self, changes: &[RolloutChange], source: &str, reason: Option<&str>) {
         for change in changes {
             let code = match change.is_new {
                 true => EventCode::RolloutOrdered,
@@ -117,12 +120,12 @@
         }
         if !changes.is_empty() {
             self.0.directory_changed.send_modify(|count| *count += 1);
-            self.tell_news();
+            self.announce_now();
         }
     }
 
     /// Which upstreams a request of a service goes to that arrived now.
-    pub(crate) fn draw_track(&self, service: &ServiceId) -> Track {
+    pub(crate) fn choose_track(&self, service: &ServiceId) -> Track {
         let open = |directory: &mut Directory| {
             let rollout = directory.rollouts().get(service)?;
             rollout.stage().is_open().then(|| rollout.ordered_at())
@@ -131,7 +134,7 @@
             return Track::Proved;
         };
         let now = self.now();
-        self.evidences(|evidences| evidences.requested(now, order));
+        self.rollout_evidence(|evidences| evidences.requested(now, order));
         let share = TrialShare {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
@@ -141,7 +144,7 @@
     }
 
     /// What came of a request at an upstream, for the judgement on a version that is tried.
-    pub(crate) fn note_tried(
+    pub(crate) fn record_rollout_outcome(
         &self,
         admitted: &Admitted,
         upstream: &Upstream,
@@ -170,7 +173,7 @@
             outcome,
         };
         let now = self.now();
-        self.evidences(|evidences| evidences.answered(now, order, &answer));
+        self.rollout_evidence(|evidences| evidences.answered(now, order, &answer));
     }
 
     /// The orders whose end operators wait for, and what is due of each.
@@ -180,7 +183,7 @@
         self.directory(|directory| {
             let open = directory.rollouts().open().map(|rollout| {
                 let order = rollout.ordered_at();
-                let evidence = self.evidences(|evidences| evidences.all(now, order));
+                let evidence = self.rollout_evidence(|evidences| evidences.all(now, order));
                 let new = directory.count_of_version(rollout.service(), rollout.to());
                 let judgement = evidence.judge(new);
                 OpenRollout {
@@ -204,27 +207,27 @@
         let now = self.now();
         for rollout in self.open_rollouts() {
             if let Due::Revert(reason) = &rollout.due {
-                self.rollout_rises(&rollout, Stage::Reverting, reason);
+                self.advance_rollout(&rollout, Stage::Reverting, reason);
             }
         }
         let open: Vec<Position> = self.directory(|directory| {
             let open = directory.rollouts().open();
             open.map(|rollout| rollout.ordered_at()).collect()
         });
-        self.evidences(|evidences| evidences.retain(now, |order| open.contains(&order)));
+        self.rollout_evidence(|evidences| evidences.retain(now, |order| open.contains(&order)));
     }
 
     /// Where this host stands among those that may take an order's next step, so that one does it first.
-    pub(crate) fn rank_for(&self, service: &ServiceId) -> usize {
+    pub(crate) fn rollout_rank(&self, service: &ServiceId) -> usize {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.rank(now, &settings.host, service.as_str()))
     }
 
     /// How long a host of this rank leaves a step to those before it.
-    pub(crate) fn leaves_step_for(&self, service: &ServiceId) -> Duration {
+    pub(crate) fn rollout_step_delay(&self, service: &ServiceId) -> Duration {
         const FOR_EACH: Duration = Duration::from_millis(250);
         const RANK_MAX: usize = 6;
-        FOR_EACH * u32::try_from(self.rank_for(service).min(RANK_MAX)).unwrap_or(0)
+        FOR_EACH * u32::try_from(self.rollout_rank(service).min(RANK_MAX)).unwrap_or(0)
     }
 }
--- a/src/gateway/shared/suspicion.rs
+++ b/src/gateway/shared/suspicion.rs
@@ -31,7 +31,7 @@
 
     /// The refusal of a request that is held back; none for one that may be sent, also as the trial of
     /// its content.
-    pub(crate) fn held_back(&self, admitted: &Admitted) -> Option<Refusal> {
+    pub(crate) fn refuse_suspect(&self, admitted: &Admitted) -> Option<Refusal> {
         let now = self.now();
         let fingerprint = admitted.fingerprint;
         let standing = self.suspects(|suspects| suspects.standing(now, fingerprint))?;
@@ -70,7 +70,7 @@
 
     /// The connection to an upstream broke while it ran a request. One that is leaving ends by itself, and a cold
     /// one crashes under many sound requests.
-    pub(crate) fn upstream_broke(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
+    pub(crate) fn record_crash(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
         let now = self.now();
         let has_own_cause = |directory: &mut Directory| {
             directory.leaving_since(upstream).is_some() || directory.is_cold(now, upstream)
@@ -80,13 +80,13 @@
         }
         let standing = self.suspects(|suspects| suspects.crashed(now, fingerprint, upstream));
         if let Some(standing) = standing {
-            self.note_suspect(fingerprint, standing, upstream.as_str());
-            self.tell_news();
+            self.log_suspect(fingerprint, standing, upstream.as_str());
+            self.announce_now();
         }
     }
 
     /// An upstream answered a request in whole.
-    pub(crate) fn request_answered(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
+    pub(crate) fn clear_suspect(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
         let now = self.now();
         let before = self.suspects(|suspects| suspects.answered(now, fingerprint));
         if before.is_some_and(|before| before.crashes > 1) {
@@ -98,7 +98,7 @@
     }
 
     /// An upstream answered a request that was sent at `sent_at`, in whole or in part.
-    pub(crate) fn upstream_answered(&self, sent_at: Time, upstream: &InstanceId) {
+    pub(crate) fn record_alive(&self, sent_at: Time, upstream: &InstanceId) {
         self.suspects(|suspects| suspects.alive(sent_at, upstream));
     }
 
@@ -108,34 +108,34 @@
             return;
         }
         let now = self.now();
-        let listed = self.listed(now);
+        let listed = self.listed_upstreams(now);
         self.suspects(|suspects| {
             suspects.look_at_listed(now, &listed);
             suspects.lapse(now);
         });
     }
 
-    fn listed(&self, now: Time) -> Listed {
-        if !self.hears_log(Topic::Upstreams) {
+    fn listed_upstreams(&self, now: Time) -> Listed {
+        if !self.follows_topic(Topic::Upstreams) {
             return Listed::Unknown;
         }
         let sound = self.directory(|directory| directory.all_sound());
         let instances = sound.iter().map(|upstream| &upstream.id);
-        let reachable = instances.filter(|id| !self.is_passed_over(now, id));
+        let reachable = instances.filter(|id| !self.is_unreachable(now, id));
         Listed::Fresh(reachable.map(InstanceId::key).collect())
     }
 
     /// Another host tells of requests under which upstreams crashed.
-    pub(crate) fn hear_suspects(&self, source: &str, told: &[ToldSuspect]) {
+    pub(crate) fn receive_suspects(&self, source: &str, told: &[ToldSuspect]) {
         let now = self.now();
         let changed = self.suspects(|suspects| suspects.hear(now, told));
         for (fingerprint, standing) in changed {
-            self.note_suspect(fingerprint, standing, source);
+            self.log_suspect(fingerprint, standing, source);
         }
     }
 
     /// A single crash may have any cause: the line of the request that it ended tells of it.
-    fn note_suspect(&self, fingerprint: Fingerprint, standing: Standing, source: &str) {
+    fn log_suspect(&self, fingerprint: Fingerprint, standing: Standing, source: &str) {
         if standing.crashes < 2 {
             return;
         }
--- a/src/gateway/shared/waking.rs
+++ b/src/gateway/shared/waking.rs
@@ -25,7 +25,7 @@
 
     /// Looks whether the host was suspended since it last looked. Then no topic of the log counts as read, reads
     /// that are under way are given up, and whoever waits for something looks at the time anew.
-    pub(crate) fn look_for_suspension(&self) {
+    pub(crate) fn check_suspension(&self) {
         let clock = self.clock();
         let look = |steady| locked(&self.0.wakefulness).look(clock.now(), steady);
         let Some(suspended) = look(clock.steady()) else {
@@ -40,11 +40,11 @@
             .write();
         self.0.wakes.send_modify(|count| *count += 1);
         self.0.directory_changed.send_modify(|count| *count += 1);
-        self.tell_news();
+        self.announce_now();
     }
 
     /// Whether the host has woken and neither read the log since nor heard a host that does.
-    pub(crate) fn is_waking(&self) -> bool {
+    pub(crate) fn is_resuming(&self) -> bool {
         let now = self.now();
         let Some(woken_at) = locked(&self.0.wakefulness).woken_at(now) else {
             return false;
@@ -57,8 +57,8 @@
 
     fn is_confirmed(&self, now: Time, topic: Topic, woken_at: Time) -> bool {
         let awake_for = now.since(woken_at);
-        let is_read =
-            !self.is_log_lost(topic) && self.log_age(topic).is_some_and(|age| age < awake_for);
+        let is_read = !self.is_log_unreachable(topic)
+            && self.log_age(topic).is_some_and(|age| age < awake_for);
         let heard_within = awake_for.saturating_sub(OLD_DATAGRAMS_READ);
         is_read || self.has_caught_up(now, topic, heard_within)
     }
@@ -80,13 +80,13 @@
     }
 
     /// Wakes with the host.
-    pub(crate) fn wakes(&self) -> watch::Receiver<u64> {
+    pub(crate) fn watch_wakeups(&self) -> watch::Receiver<u64> {
         self.0.wakes.subscribe()
     }
 
     /// Returns when the host wakes from a suspension in which `deadline` passed; timers don't count that time.
-    pub(crate) async fn deadline_slept_through(&self, deadline: Time) {
-        let mut wakes = self.wakes();
+    pub(crate) async fn wait_missed_deadline(&self, deadline: Time) {
+        let mut wakes = self.watch_wakeups();
         while wakes.changed().await.is_ok() {
             if self.now() >= deadline {
                 return;
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -126,7 +126,7 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.budget(&admitted.service, |budget| budget.requested(now));
+    shared.retry_budget(&admitted.service, |budget| budget.requested(now));
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
         return admitted.refuse(shared, &refusal);
     }
@@ -140,37 +140,49 @@
             }
             Err(refusal) => return admitted.refuse(shared, &refusal),
         };
-        let share = shared.lines().run(admitted.customer.as_ref(), tokens(need));
+        let share = shared
+            .queues()
+            .run(admitted.customer.as_ref(), tokens(need));
         let upstream = candidate.upstream;
         tries.begin(&upstream.id);
-        let _trial = shared.trial(&upstream.id);
+        let _trial = shared.begin_send(&upstream.id);
         let line = admitted.line(shared, EventCode::RequestDispatched);
         line.with("upstream", upstream.id.as_str())
             .with("load_requests", candidate.load.requests)
             .with("load_tokens", candidate.load.tokens)
             .with("load_unread", candidate.load.unread_tokens)
             .with("tokens", tokens(need))
-            .with("hosts", shared.hosts())
+            .with("hosts", shared.live_hosts())
             .write();
         let (reached, reason) = match open(shared, &admitted, &upstream, tokens(need), None).await {
             Opened::Running(running) => return respond(shared.clone(), admitted, *running, share),
             Opened::Answered(answer) => return pass_on(shared, &admitted, &upstream, answer),
             Opened::TimedOut => {
-                shared.note_tried(&admitted, &upstream, Measure::FirstEvent, Outcome::Failed);
-                shared.upstream_failed(&admitted.service, &upstream.id, "no answer in time");
+                shared.record_rollout_outcome(
+                    &admitted,
+                    &upstream,
+                    Measure::FirstEvent,
+                    Outcome::Failed,
+                );
+                shared.record_failure(&admitted.service, &upstream.id, "no answer in time");
                 let refusal =
                     Refusal::unknown(Code::DeadlineExceeded, "no answer before the deadline");
                 return admitted.refuse(shared, &refusal);
             }
             Opened::Unknown(reason) => {
-                shared.note_tried(&admitted, &upstream, Measure::FirstEvent, Outcome::Failed);
-                shared.upstream_failed(&admitted.service, &upstream.id, &reason);
+                shared.record_rollout_outcome(
+                    &admitted,
+                    &upstream,
+                    Measure::FirstEvent,
+                    Outcome::Failed,
+                );
+                shared.record_failure(&admitted.service, &upstream.id, &reason);
                 let message = format!("{}: {reason}", upstream.id);
                 return admitted.refuse(shared, &Refusal::unknown(Code::UpstreamFailed, message));
             }
             Opened::Unreachable(reason) => (Reached::Unreachable, reason),
             Opened::NotRun(reason) => {
-                shared.upstream_failed(&admitted.service, &upstream.id, &reason);
+                shared.record_failure(&admitted.service, &upstream.id, &reason);
                 (Reached::Sent, reason)
             }
         };
@@ -189,7 +201,7 @@
 ) -> Result<Option<Candidate>, Refusal> {
     match need {
         Need::Memory { .. } => line::wait_for_room(shared, admitted, need, avoid).await,
-        Need::Slot | Need::Copy { .. } => match shared.held_back(admitted) {
+        Need::Slot | Need::Copy { .. } => match shared.refuse_suspect(admitted) {
             Some(refusal) => Err(refusal),
             None => Ok(admitted.place(shared, need, avoid)),
         },
@@ -268,10 +280,10 @@
         None if admitted.engine.is_some() => admitted.size(shared).prompt_tokens,
         _ => 0,
     };
-    shared.sends_to(upstream);
+    shared.record_send(upstream);
     let occupied = shared.loads().occupy(&upstream.id, tokens, unread_tokens);
     let load = shared.loads().with(|loads| loads.at(&upstream.id));
-    shared.tell_news();
+    shared.announce_now();
     let sending = Sending {
         upstream,
         occupied,
@@ -282,7 +294,7 @@
     tokio::select! {
         opened = opening => opened,
         () = tokio::time::sleep_until(admitted.deadline) => Opened::TimedOut,
-        () = shared.deadline_slept_through(admitted.deadline_at) => Opened::TimedOut,
+        () = shared.wait_missed_deadline(admitted.deadline_at) => Opened::TimedOut,
     }
 }
 
@@ -298,11 +310,11 @@
     let connection = match opening.await {
         Ok(connection) => connection,
         Err(failure) => {
-            shared.upstream_unreachable(&upstream.id, failure.reason());
+            shared.record_unreachable(&upstream.id, failure.reason());
             return Opened::Unreachable(failure.reason().to_owned());
         }
     };
-    shared.upstream_reached(&upstream.id);
+    shared.record_reached(&upstream.id);
     let headers = AttemptHeaders {
         upstream,
         time_left: admitted.time_left(),
@@ -316,7 +328,7 @@
         Err(Unanswered::Unknown(reason)) => {
             // An engine that crashes takes connections for a while and looks empty, so it would be
             // chosen again and again by each host that has not seen it yet.
-            shared.upstream_unreachable(&upstream.id, &reason);
+            shared.record_unreachable(&upstream.id, &reason);
             return Opened::Unknown(reason);
         }
     };
@@ -351,8 +363,8 @@
     answer: WholeAnswer,
 ) -> HttpResponse {
     let status = answer.head.status.as_u16();
-    shared.note_tried(admitted, upstream, Measure::FirstEvent, Outcome::Failed);
-    shared.upstream_failed(&admitted.service, &upstream.id, &format!("status {status}"));
+    shared.record_rollout_outcome(admitted, upstream, Measure::FirstEvent, Outcome::Failed);
+    shared.record_failure(&admitted.service, &upstream.id, &format!("status {status}"));
     call::pass_on(shared, admitted, upstream, answer, 1)
 }
 
@@ -360,7 +372,7 @@
 fn respond(shared: Shared, admitted: Admitted, running: Running, share: Share) -> HttpResponse {
     shared.ejector(|ejector| ejector.succeeded(&running.upstream.id));
     let mut response = call::respond(&running.head);
-    if shared.sends_callers_away() {
+    if shared.closes_connections() {
         response.force_close();
     }
     let relay = Relay::new(shared, admitted, running, share);
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -140,7 +140,7 @@
         self.moves += 1;
         ticket.goes_to(&to.id);
         // Reserves what the run will need when it goes on there.
-        self.shared.sends_to(&to);
+        self.shared.record_send(&to);
         self.note_move("copying", Some(&to));
         let size = self.admitted.size(&self.shared);
         let tokens = size.prompt_tokens + output_planned(size);
@@ -340,7 +340,8 @@
         .await;
         if opened.may_count_as_retry() {
             let now = self.shared.now();
-            self.shared.budget(&service, |budget| budget.charge(now));
+            self.shared
+                .retry_budget(&service, |budget| budget.charge(now));
         }
         match opened {
             Opened::Running(running) => {
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -73,7 +73,7 @@
     pub(super) fn new(shared: Shared, admitted: Admitted, running: Running, share: Share) -> Self {
         let class = ClassId::new(format!("{}", admitted.priority));
         let meter = StreamMeter::start(shared.now(), &admitted.service, &class);
-        let mut changes = shared.directory_watch();
+        let mut changes = shared.watch_directory();
         changes.mark_changed();
         let expected_tokens = output_planned(admitted.size(&shared));
         Relay {
@@ -137,7 +137,7 @@
             {
                 let upstream = &self.running.upstream.id;
                 self.shared
-                    .upstream_broke(self.admitted.fingerprint, upstream);
+                    .record_crash(self.admitted.fingerprint, upstream);
                 return self.fail(&reason);
             }
         }
@@ -193,7 +193,7 @@
     fn note_tried(&self, measure: Measure, outcome: Outcome) {
         let upstream = &self.running.upstream;
         self.shared
-            .note_tried(&self.admitted, upstream, measure, outcome);
+            .record_rollout_outcome(&self.admitted, upstream, measure, outcome);
     }
 
     fn first_passed(&mut self) {
@@ -203,7 +203,7 @@
         self.note_tried(Measure::FirstEvent, Outcome::Took(time));
         let tokens = self.running.unread_tokens;
         let in_time = self.admitted.arrived.elapsed() <= self.admitted.route.objective;
-        self.shared.lines().with(|lines| {
+        self.shared.queues().with(|lines| {
             lines.pace.first_event(tokens, time);
             lines.pace.came(in_time);
         });
@@ -240,7 +240,7 @@
         self.share.complete();
         let upstream = &self.running.upstream.id;
         self.shared
-            .request_answered(self.admitted.fingerprint, upstream);
+            .clear_suspect(self.admitted.fingerprint, upstream);
         let line = self.admitted.line(&self.shared, EventCode::RequestComplete);
         line.with("upstream", self.running.upstream.id.as_str())
             .with("events", self.splitter.passed())
@@ -255,7 +255,7 @@
         let id = self.running.upstream.id.clone();
         self.note_tried(Measure::Pace, Outcome::Failed);
         self.shared
-            .upstream_failed(&self.admitted.service, &id, reason);
+            .record_failure(&self.admitted.service, &id, reason);
         telemetry::count_of_service(Metric::StreamsLostTotal, &self.admitted.service);
         let line = self.admitted.line(&self.shared, EventCode::RequestFailed);
         line.with("upstream", id.as_str())
--- a/src/gateway/stream/stopping.rs
+++ b/src/gateway/stream/stopping.rs
@@ -18,7 +18,7 @@
 
 /// The refusal of a generation that would not finish before the host ends.
 pub(super) fn refuse_while_stopping(shared: &Shared, admitted: &Admitted) -> Option<Refusal> {
-    let left = shared.stops_in()?;
+    let left = shared.shutdown_time_left()?;
     let stopping_for = shared.settings().grace.saturating_sub(left);
     let size = admitted.size(shared);
     match finishes(size, stopping_for, left) {
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -200,7 +200,7 @@
             .with("records", unreadable)
             .write();
     }
-    shared.hear_suspects("log", &told);
+    shared.receive_suspects("log", &told);
     for key in old.into_iter().take(REMOVED_AT_ONCE) {
         if let Err(error) = append(shared, client, Topic::Suspects, key, &[]).await {
             log::debug!("removing a suspect: {error}");
--- a/src/gateway/tries.rs
+++ b/src/gateway/tries.rs
@@ -128,7 +128,7 @@
             return (Verdict::SentOften, None);
         }
         let now = shared.now();
-        let (balance, is_allowed) = shared.budget(service, |budget| {
+        let (balance, is_allowed) = shared.retry_budget(service, |budget| {
             (budget.balance(now, hosts), budget.try_retry(now, hosts))
         });
         telemetry::count_retry(service, is_allowed);
--- a/src/gateway/turns.rs
+++ b/src/gateway/turns.rs
@@ -180,7 +180,7 @@
     /// Joins the line of `upstream`.
     pub fn join(shared: &Shared, upstream: &InstanceId) -> Self {
         let number = shared.turns().with(|turns| turns.join(upstream));
-        shared.tell_news();
+        shared.announce_now();
         Ticket {
             shared: shared.clone(),
             upstream: upstream.clone(),
@@ -192,7 +192,7 @@
     pub fn goes_to(&self, to: &InstanceId) {
         let turns = self.shared.turns();
         turns.with(|turns| turns.goes_to(&self.upstream, self.number, to));
-        self.shared.tell_news();
+        self.shared.announce_now();
     }
 
     /// Waits for the turn, or until `patience_ends`.
@@ -203,7 +203,7 @@
         }
         let turns = self.shared.turns();
         turns.with(|turns| turns.begin(&self.upstream, self.number));
-        self.shared.tell_news();
+        self.shared.announce_now();
         self
     }
 
@@ -223,7 +223,7 @@
         self.shared
             .turns()
             .with(|turns| turns.leave(upstream, number));
-        self.shared.tell_news();
+        self.shared.announce_now();
     }
 }
 
