--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -11,7 +11,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::gateway::directory::Change;
-use crate::gateway::evacuations::ToldEvacuations;
+use crate::gateway::evacuations::AnnouncedEvacuations;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
 use crate::gateway::loads::Load;
@@ -20,7 +20,7 @@
 use crate::gateway::protocol::Topic;
 use crate::gateway::rollouts::ToldRollout;
 use crate::gateway::rollouts::evidence::ToldEvidence;
-use crate::gateway::suspects::ToldSuspect;
+use crate::gateway::suspects::AnnouncedSuspect;
 use crate::gateway::turns::ToMove;
 use crate::id::DataCentre;
 use crate::id::HostId;
@@ -100,7 +100,7 @@
     /// The latest history of the log that it knows.
     pub log_era: Era,
     /// The data centres that operators have evacuated.
-    pub evacuations: ToldEvacuations,
+    pub evacuations: AnnouncedEvacuations,
     /// The newest order to roll a version out of each service.
     pub rollouts: Vec<ToldRollout>,
     /// What was seen of the versions that are tried.
@@ -130,7 +130,7 @@
     /// Upstreams that it can't connect to now.
     pub unreachable: Vec<InstanceId>,
     /// Requests under which upstreams crashed.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<AnnouncedSuspect>,
     /// Some other hosts.
     pub hosts: Vec<SocketAddr>,
     /// Some hosts of other data centres, for a host that knows few there.
@@ -157,7 +157,7 @@
             host,
             config: 0,
             log_era: Era::default(),
-            evacuations: ToldEvacuations::default(),
+            evacuations: AnnouncedEvacuations::default(),
             rollouts: Vec::new(),
             evidence: ToldTrials::Nothing,
             upstreams: Position::default(),
@@ -273,7 +273,7 @@
     }
 
     /// Tells of these suspects, and of turns.
-    pub(crate) fn of_suspects_only(&self, suspects: Vec<ToldSuspect>) -> Datagram {
+    pub(crate) fn of_suspects_only(&self, suspects: Vec<AnnouncedSuspect>) -> Datagram {
         Datagram {
             changes: Vec::new(),
             loads: ToldLoads::Nothing,
--- a/src/gateway/ownword.rs
+++ b/src/gateway/enginepoll.rs
@@ -29,7 +29,7 @@
 const ASK_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Asks for ever, while there is need.
-pub async fn ask_while_blind(shared: Shared) {
+pub async fn run(shared: Shared) {
     loop {
         tick(ASK_INTERVAL).await;
         if !shared.hears_log(Topic::Upstreams) {
--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -34,7 +34,7 @@
 
 /// What a host knows of evacuations, as it tells others.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEvacuations {
+pub struct AnnouncedEvacuations {
     /// The position of the operators' topic up to which this is all; the first one of all if nothing is known.
     pub as_of: Position,
     /// What is evacuated by the log.
@@ -90,12 +90,12 @@
         data_centres: BTreeSet<DataCentre>,
         as_of: Position,
     ) -> Vec<EvacuationChange> {
-        let told = ToldEvacuations {
+        let told = AnnouncedEvacuations {
             as_of,
             data_centres,
             kept_ms: BTreeMap::new(),
         };
-        self.hear(now, &told)
+        self.merge(now, &told)
     }
 
     /// Takes the records of the operators between the last position that was read and `read_to`.
@@ -120,11 +120,11 @@
     }
 
     /// What this host knows, for others.
-    pub fn tell(&self, now: Time) -> ToldEvacuations {
+    pub fn announce(&self, now: Time) -> AnnouncedEvacuations {
         let left_ms =
             |until: &Time| u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
         let kept = self.kept_until.iter();
-        ToldEvacuations {
+        AnnouncedEvacuations {
             as_of: self.as_of,
             data_centres: self.data_centres.clone(),
             kept_ms: kept
@@ -134,7 +134,7 @@
     }
 
     /// Takes what the log or another host tells.
-    pub fn hear(&mut self, now: Time, told: &ToldEvacuations) -> Vec<EvacuationChange> {
+    pub fn merge(&mut self, now: Time, told: &AnnouncedEvacuations) -> Vec<EvacuationChange> {
         if told.as_of < self.as_of {
             return Vec::new();
         }
@@ -150,7 +150,7 @@
     }
 
     /// Goes on from a later word. Where that is of a later history of the log, what it lacks is kept.
-    fn begin(&mut self, now: Time, told: &ToldEvacuations) {
+    fn begin(&mut self, now: Time, told: &AnnouncedEvacuations) {
         let is_return = self.is_known() && told.as_of.era > self.as_of.era;
         let before = std::mem::replace(&mut self.data_centres, told.data_centres.clone());
         match is_return {
@@ -173,7 +173,7 @@
     }
 
     /// Drops what was kept and not written again.
-    pub fn lapse(&mut self, now: Time) -> Vec<EvacuationChange> {
+    pub fn expire(&mut self, now: Time) -> Vec<EvacuationChange> {
         let before = self.all();
         self.kept_until.retain(|_, until| *until > now);
         self.changes_since(&before)
--- a/src/gateway/evacuations/tests.rs
+++ b/src/gateway/evacuations/tests.rs
@@ -42,11 +42,11 @@
 #[test]
 fn an_earlier_word_changes_nothing_in_whatever_order_words_come() {
     let mut evacuations = evacuations(&["north"]);
-    let earlier = evacuations.tell(Time::ZERO);
+    let earlier = evacuations.announce(Time::ZERO);
 
     let changes = evacuations.apply(&[record("north", false), record("south", true)], at(1, 12));
     let repeated = evacuations.apply(&[record("north", true)], at(1, 11));
-    let heard = evacuations.hear(Time::ZERO, &earlier);
+    let heard = evacuations.merge(Time::ZERO, &earlier);
 
     assert_eq!((changes.len(), repeated.len(), heard.len()), (2, 0, 0));
     assert_eq!(evacuations.all(), set(&["south"]));
@@ -57,8 +57,8 @@
     let mut evacuations = evacuations(&["north"]);
 
     evacuations.replace(Time::ZERO, set(&[]), at(2, 4));
-    let soon = evacuations.lapse(Time::ZERO + KEPT_FOR / 2);
-    let late = evacuations.lapse(Time::ZERO + KEPT_FOR);
+    let soon = evacuations.expire(Time::ZERO + KEPT_FOR / 2);
+    let late = evacuations.expire(Time::ZERO + KEPT_FOR);
 
     assert_eq!((soon.len(), late.len()), (0, 1));
     assert!(evacuations.all().is_empty());
@@ -69,11 +69,11 @@
     let mut reader = evacuations(&["north"]);
     let mut listener = evacuations(&["north"]);
     reader.replace(Time::ZERO, set(&[]), at(2, 4));
-    listener.hear(Time::ZERO, &reader.tell(Time::ZERO));
+    listener.merge(Time::ZERO, &reader.announce(Time::ZERO));
     let before = listener.all();
 
     reader.apply(&[record("north", false)], at(2, 5));
-    listener.hear(Time::ZERO, &reader.tell(Time::ZERO));
+    listener.merge(Time::ZERO, &reader.announce(Time::ZERO));
 
     assert_eq!(before, set(&["north"]));
     assert!(listener.all().is_empty());
@@ -87,12 +87,12 @@
     joined.replace(Time::ZERO, set(&[]), at(2, 4));
 
     let halfway = Time::ZERO + KEPT_FOR / 2;
-    joined.hear(halfway, &known.tell(halfway));
-    known.hear(halfway, &joined.tell(halfway));
+    joined.merge(halfway, &known.announce(halfway));
+    known.merge(halfway, &joined.announce(halfway));
     let kept = joined.all();
     let late = Time::ZERO + KEPT_FOR;
-    known.lapse(late);
-    joined.lapse(late);
+    known.expire(late);
+    joined.expire(late);
 
     assert_eq!(kept, set(&["north"]));
     assert!(known.all().is_empty() && joined.all().is_empty());
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -239,7 +239,7 @@
         loads: ToldLoads::OfHost(shared.loads().with(|loads| loads.own())),
         moving: shared.turns().with(|turns| turns.own()),
         unreachable: shared.unreachable(),
-        suspects: shared.suspects(|suspects| suspects.tell(now)),
+        suspects: shared.suspects(|suspects| suspects.announce(now)),
         hosts: shared.peers(|peers| peers.some(now)),
         lacks_hosts: shared.peers(|peers| peers.lacks_hosts()),
         hears: told_count(shared.peers(|peers| peers.live(now))),
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -16,7 +16,7 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
-use crate::gateway::suspects::ToldSuspect;
+use crate::gateway::suspects::AnnouncedSuspect;
 use crate::id::DataCentre;
 
 /// Some hosts of each other data centre are sent to at this interval while hosts are many: bytes between
@@ -92,9 +92,9 @@
     }
 
     /// What this host has seen since the round before of requests under which upstreams crash.
-    fn new_suspects(&mut self, shared: &Shared, now: Time) -> Vec<ToldSuspect> {
+    fn new_suspects(&mut self, shared: &Shared, now: Time) -> Vec<AnnouncedSuspect> {
         let since = std::mem::replace(&mut self.told_suspects, now);
-        shared.suspects(|suspects| suspects.witnessed(now, since))
+        shared.suspects(|suspects| suspects.observed_since(now, since))
     }
 
     /// Whether this host reads the upstreams for all, and the others must hear that it does, or what has
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -24,7 +24,7 @@
 use crate::gateway::document::catchup::Fault;
 use crate::gateway::document::catchup::Holder;
 use crate::gateway::document::catchup::Step;
-use crate::gateway::evacuations::ToldEvacuations;
+use crate::gateway::evacuations::AnnouncedEvacuations;
 use crate::gateway::ownclient::Arrival;
 use crate::gateway::ownclient::OwnClient;
 use crate::gateway::peers::Fetch;
@@ -61,7 +61,7 @@
     digest: u64,
     upstreams: UpstreamsTold,
     /// Which of them get no new work because operators have evacuated their data centres.
-    evacuations: ToldEvacuations,
+    evacuations: AnnouncedEvacuations,
     /// What operators have ordered to be rolled out.
     rollouts: Vec<ToldRollout>,
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -46,8 +46,8 @@
 use crate::gateway::rollouts::evidence::EvidenceBoard;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::suspects::Suspects;
+use crate::gateway::suspension::SuspensionDetector;
 use crate::gateway::turns::TurnBoard;
-use crate::gateway::wakefulness::Wakefulness;
 use crate::id::ServiceId;
 
 mod changes;
@@ -96,7 +96,7 @@
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
     evidences: Mutex<EvidenceBoard>,
-    wakefulness: Mutex<Wakefulness>,
+    wakefulness: Mutex<SuspensionDetector>,
     wakes: watch::Sender<u64>,
     log_era: Mutex<Era>,
     /// The history of the log in which it last told an era that can't be read.
--- a/src/gateway/shared/evacuating.rs
+++ b/src/gateway/shared/evacuating.rs
@@ -4,17 +4,17 @@
 
 use super::Shared;
 use crate::event::EventCode;
+use crate::gateway::evacuations::AnnouncedEvacuations;
 use crate::gateway::evacuations::EvacuationChange;
 use crate::gateway::evacuations::EvacuationRecord;
-use crate::gateway::evacuations::ToldEvacuations;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Record;
 
 impl Shared {
     /// What this host knows of evacuations, for others.
-    pub(crate) fn told_evacuations(&self) -> ToldEvacuations {
+    pub(crate) fn told_evacuations(&self) -> AnnouncedEvacuations {
         let now = self.now();
-        self.directory(|directory| directory.evacuations().tell(now))
+        self.directory(|directory| directory.evacuations().announce(now))
     }
 
     /// Takes all records that the operators' topic of the log holds as of `end`.
@@ -42,16 +42,16 @@
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn hear_evacuations(&self, told: &ToldEvacuations, source: &str) {
+    pub(crate) fn hear_evacuations(&self, told: &AnnouncedEvacuations, source: &str) {
         let now = self.now();
-        let changes = self.directory(|directory| directory.evacuations_mut().hear(now, told));
+        let changes = self.directory(|directory| directory.evacuations_mut().merge(now, told));
         self.note_evacuations(&changes, source);
     }
 
     /// Drops what an earlier history of the log said, once operators had time to write it again.
     pub(crate) fn lapse_evacuations(&self) {
         let now = self.now();
-        let changes = self.directory(|directory| directory.evacuations_mut().lapse(now));
+        let changes = self.directory(|directory| directory.evacuations_mut().expire(now));
         self.note_evacuations(&changes, "not written again since the log's return");
     }
 
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -62,7 +62,7 @@
         if is_return {
             let now = self.now();
             self.directory(|directory| directory.log_returned(now));
-            self.suspects(|suspects| suspects.write_again());
+            self.suspects(|suspects| suspects.mark_unwritten());
             telemetry::count(Metric::LogReturnsTotal);
         }
         self.tell_news();
--- a/src/gateway/shared/suspicion.rs
+++ b/src/gateway/shared/suspicion.rs
@@ -11,10 +11,10 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::protocol::Topic;
 use crate::gateway::serve::Admitted;
-use crate::gateway::suspects::Listed;
-use crate::gateway::suspects::Standing;
+use crate::gateway::suspects::AnnouncedSuspect;
+use crate::gateway::suspects::Assessment;
+use crate::gateway::suspects::ListedUpstreams;
 use crate::gateway::suspects::Suspects;
-use crate::gateway::suspects::ToldSuspect;
 use crate::gateway::suspects::Verdict;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
@@ -34,16 +34,16 @@
     pub(crate) fn held_back(&self, admitted: &Admitted) -> Option<Refusal> {
         let now = self.now();
         let fingerprint = admitted.fingerprint;
-        let standing = self.suspects(|suspects| suspects.standing(now, fingerprint))?;
-        let held_back = match standing.verdict {
-            Verdict::Sent => return None,
-            Verdict::Tried if self.is_trial(now, admitted) => return None,
-            Verdict::Tried => TRIED_ELSEWHERE,
+        let assessment = self.suspects(|suspects| suspects.assess(now, fingerprint))?;
+        let held_back = match assessment.verdict {
+            Verdict::Allowed => return None,
+            Verdict::Trial if self.is_trial(now, admitted) => return None,
+            Verdict::Trial => TRIED_ELSEWHERE,
             Verdict::HeldBack(left) => left,
         };
         let message = format!(
             "{} upstreams crashed while they ran this request; this time it was not sent",
-            standing.crashes
+            assessment.crashes
         );
         let refusal = Refusal::not_run(Code::CrashesUpstreams, message);
         let ms = u64::try_from(held_back.as_millis()).unwrap_or(u64::MAX);
@@ -78,9 +78,10 @@
         if self.directory(has_own_cause) {
             return;
         }
-        let standing = self.suspects(|suspects| suspects.crashed(now, fingerprint, upstream));
-        if let Some(standing) = standing {
-            self.note_suspect(fingerprint, standing, upstream.as_str());
+        let assessment =
+            self.suspects(|suspects| suspects.record_crash(now, fingerprint, upstream));
+        if let Some(assessment) = assessment {
+            self.note_suspect(fingerprint, assessment, upstream.as_str());
             self.tell_news();
         }
     }
@@ -88,7 +89,7 @@
     /// An upstream answered a request in whole.
     pub(crate) fn request_answered(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
         let now = self.now();
-        let before = self.suspects(|suspects| suspects.answered(now, fingerprint));
+        let before = self.suspects(|suspects| suspects.record_answer(now, fingerprint));
         if before.is_some_and(|before| before.crashes > 1) {
             let line = self.log().line(EventCode::SuspectCleared);
             line.with("fingerprint", fingerprint.to_string())
@@ -99,7 +100,7 @@
 
     /// An upstream answered a request that was sent at `sent_at`, in whole or in part.
     pub(crate) fn upstream_answered(&self, sent_at: Time, upstream: &InstanceId) {
-        self.suspects(|suspects| suspects.alive(sent_at, upstream));
+        self.suspects(|suspects| suspects.record_alive(sent_at, upstream));
     }
 
     /// Drops what is too old, or can't be true of upstreams that are listed.
@@ -110,42 +111,42 @@
         let now = self.now();
         let listed = self.listed(now);
         self.suspects(|suspects| {
-            suspects.look_at_listed(now, &listed);
-            suspects.lapse(now);
+            suspects.check_listed(now, &listed);
+            suspects.expire(now);
         });
     }
 
-    fn listed(&self, now: Time) -> Listed {
+    fn listed(&self, now: Time) -> ListedUpstreams {
         if !self.hears_log(Topic::Upstreams) {
-            return Listed::Unknown;
+            return ListedUpstreams::Unknown;
         }
         let sound = self.directory(|directory| directory.all_sound());
         let instances = sound.iter().map(|upstream| &upstream.id);
         let reachable = instances.filter(|id| !self.is_passed_over(now, id));
-        Listed::Fresh(reachable.map(InstanceId::key).collect())
+        ListedUpstreams::Fresh(reachable.map(InstanceId::key).collect())
     }
 
     /// Another host tells of requests under which upstreams crashed.
-    pub(crate) fn hear_suspects(&self, source: &str, told: &[ToldSuspect]) {
+    pub(crate) fn hear_suspects(&self, source: &str, told: &[AnnouncedSuspect]) {
         let now = self.now();
-        let changed = self.suspects(|suspects| suspects.hear(now, told));
-        for (fingerprint, standing) in changed {
-            self.note_suspect(fingerprint, standing, source);
+        let changed = self.suspects(|suspects| suspects.merge(now, told));
+        for (fingerprint, assessment) in changed {
+            self.note_suspect(fingerprint, assessment, source);
         }
     }
 
     /// A single crash may have any cause: the line of the request that it ended tells of it.
-    fn note_suspect(&self, fingerprint: Fingerprint, standing: Standing, source: &str) {
-        if standing.crashes < 2 {
+    fn note_suspect(&self, fingerprint: Fingerprint, assessment: Assessment, source: &str) {
+        if assessment.crashes < 2 {
             return;
         }
-        let held_back_ms = match standing.verdict {
+        let held_back_ms = match assessment.verdict {
             Verdict::HeldBack(left) => Some(left.as_millis() as u64),
-            Verdict::Sent | Verdict::Tried => None,
+            Verdict::Allowed | Verdict::Trial => None,
         };
         let line = self.log().line(EventCode::RequestSuspected);
         line.with("fingerprint", fingerprint.to_string())
-            .with("crashes", standing.crashes)
+            .with("crashes", assessment.crashes)
             .with_some("held_back_ms", held_back_ms)
             .with("source", source)
             .write();
--- a/src/gateway/shared/waking.rs
+++ b/src/gateway/shared/waking.rs
@@ -27,7 +27,7 @@
     /// that are under way are given up, and whoever waits for something looks at the time anew.
     pub(crate) fn look_for_suspension(&self) {
         let clock = self.clock();
-        let look = |steady| locked(&self.0.wakefulness).look(clock.now(), steady);
+        let look = |steady| locked(&self.0.wakefulness).check(clock.now(), steady);
         let Some(suspended) = look(clock.steady()) else {
             return;
         };
@@ -46,7 +46,7 @@
     /// Whether the host has woken and neither read the log since nor heard a host that does.
     pub(crate) fn is_waking(&self) -> bool {
         let now = self.now();
-        let Some(woken_at) = locked(&self.0.wakefulness).woken_at(now) else {
+        let Some(woken_at) = locked(&self.0.wakefulness).resumed_at(now) else {
             return false;
         };
         let topics = [Topic::Operator, Topic::Upstreams];
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -24,7 +24,7 @@
 use crate::gateway::protocol::Record;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
-use crate::gateway::suspects::ToldSuspect;
+use crate::gateway::suspects::AnnouncedSuspect;
 use crate::gateway::ticks::tick;
 
 /// How often it is looked whether there is something to write or to read.
@@ -60,7 +60,7 @@
 }
 
 impl StoredSuspect {
-    fn new(suspect: &ToldSuspect, now_ms: u64) -> Self {
+    fn new(suspect: &AnnouncedSuspect, now_ms: u64) -> Self {
         let at = |ms_ago: u32| now_ms.saturating_sub(u64::from(ms_ago));
         let crashes = suspect.crashes.iter();
         StoredSuspect {
@@ -70,11 +70,11 @@
         }
     }
 
-    fn told(&self, now_ms: u64) -> Result<ToldSuspect> {
+    fn told(&self, now_ms: u64) -> Result<AnnouncedSuspect> {
         // What seems to come from the future is of now: clocks of hosts differ.
         let ago = |at: u64| u32::try_from(now_ms.saturating_sub(at)).unwrap_or(u32::MAX);
         let crashes = self.crashes.iter();
-        Ok(ToldSuspect {
+        Ok(AnnouncedSuspect {
             fingerprint: Fingerprint::from_str(&self.fingerprint)?,
             crashes: crashes
                 .map(|(upstream, at)| (*upstream, ago(*at)))
@@ -153,7 +153,7 @@
         }
     }
     for fingerprint in unwritten.split_off(unwritten.len().saturating_sub(WRITTEN_AT_ONCE)) {
-        let Some(suspect) = shared.suspects(|suspects| suspects.told(now, fingerprint)) else {
+        let Some(suspect) = shared.suspects(|suspects| suspects.snapshot(now, fingerprint)) else {
             continue;
         };
         if let Err(error) = write(shared, client, &suspect).await {
@@ -163,7 +163,7 @@
     }
 }
 
-async fn write(shared: &Shared, client: &mut OwnClient, suspect: &ToldSuspect) -> Result<()> {
+async fn write(shared: &Shared, client: &mut OwnClient, suspect: &AnnouncedSuspect) -> Result<()> {
     let host = &shared.settings().host;
     let key = format!("{}@{host}", suspect.fingerprint.to_hex());
     let value = serde_json::to_vec(&StoredSuspect::new(suspect, wall_ms()))?;
--- a/src/gateway/suspectlog/tests.rs
+++ b/src/gateway/suspectlog/tests.rs
@@ -14,7 +14,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
 use crate::gateway::protocol::Record;
-use crate::gateway::suspects::ToldSuspect;
+use crate::gateway::suspects::AnnouncedSuspect;
 use crate::id::UpstreamId;
 
 const NOW_MS: u64 = 1_900_000_000_000;
@@ -23,8 +23,8 @@
     InstanceId::from(UpstreamId::new(format!("up-{number}"))).key()
 }
 
-fn suspect() -> ToldSuspect {
-    ToldSuspect {
+fn suspect() -> AnnouncedSuspect {
+    AnnouncedSuspect {
         fingerprint: Fingerprint::of(&Content {
             customer: None,
             method: "POST",
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -29,10 +29,10 @@
 mod suspect;
 mod telling;
 
+pub use self::suspect::Assessment;
 pub use self::suspect::CRASHES_MAX;
-pub use self::suspect::Standing;
 pub use self::suspect::Verdict;
-pub use self::telling::ToldSuspect;
+pub use self::telling::AnnouncedSuspect;
 
 /// An upstream that is listed so long after its connection broke has not crashed: entries lapse after three
 /// heartbeats, 3.6 s on the users' deployments, and are read within a second. Without this a request whose
@@ -57,7 +57,7 @@
 
 /// Which upstreams a host knows to be listed and reachable.
 #[derive(Debug)]
-pub enum Listed {
+pub enum ListedUpstreams {
     /// Its view may be old.
     Unknown,
     /// These.
@@ -66,12 +66,12 @@
 
 impl Suspects {
     /// The connection to `upstream` broke while it ran a request. The new standing, if that is news.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Time,
         fingerprint: Fingerprint,
         upstream: &InstanceId,
-    ) -> Option<Standing> {
+    ) -> Option<Assessment> {
         let crash = Crash {
             upstream: upstream.key(),
             at: now,
@@ -84,12 +84,12 @@
             suspect.tellings_left = OWN_TELLINGS;
             suspect.is_unwritten = true;
         }
-        self.standing(now, fingerprint)
+        self.assess(now, fingerprint)
     }
 
     /// An upstream answered such a request in whole. Its standing before, if it was a suspect.
-    pub fn answered(&mut self, now: Time, fingerprint: Fingerprint) -> Option<Standing> {
-        let before = self.standing(now, fingerprint);
+    pub fn record_answer(&mut self, now: Time, fingerprint: Fingerprint) -> Option<Assessment> {
+        let before = self.assess(now, fingerprint);
         self.clear(fingerprint, now);
         if before.is_some_and(|before| before.crashes > 1)
             && let Some(suspect) = self.suspects.get_mut(&fingerprint)
@@ -100,7 +100,7 @@
     }
 
     /// `upstream` answered a request that was sent at `sent_at`: it had not crashed before.
-    pub fn alive(&mut self, sent_at: Time, upstream: &InstanceId) {
+    pub fn record_alive(&mut self, sent_at: Time, upstream: &InstanceId) {
         if self.alive.is_empty() {
             return;
         }
@@ -116,8 +116,8 @@
     }
 
     /// Takes back the crashes of what is listed though it would have lapsed if it had crashed.
-    pub fn look_at_listed(&mut self, now: Time, listed: &Listed) {
-        let Listed::Fresh(listed) = listed else {
+    pub fn check_listed(&mut self, now: Time, listed: &ListedUpstreams) {
+        let ListedUpstreams::Fresh(listed) = listed else {
             self.view_fresh_since = None;
             return;
         };
@@ -139,8 +139,8 @@
     }
 
     /// What is believed of a content; none if nothing is known against it.
-    pub fn standing(&self, now: Time, fingerprint: Fingerprint) -> Option<Standing> {
-        self.suspects.get(&fingerprint)?.standing(now)
+    pub fn assess(&self, now: Time, fingerprint: Fingerprint) -> Option<Assessment> {
+        self.suspects.get(&fingerprint)?.assess(now)
     }
 
     /// Begins the trial of a content; false while another one may be under way here.
@@ -157,7 +157,11 @@
     }
 
     /// Takes what another host tells. The contents whose standing it changed.
-    pub fn hear(&mut self, now: Time, told: &[ToldSuspect]) -> Vec<(Fingerprint, Standing)> {
+    pub fn merge(
+        &mut self,
+        now: Time,
+        told: &[AnnouncedSuspect],
+    ) -> Vec<(Fingerprint, Assessment)> {
         let mut changed = Vec::new();
         for suspect in told {
             let fingerprint = suspect.fingerprint;
@@ -172,8 +176,8 @@
             }
             if is_news {
                 self.tell_on(fingerprint);
-                let standing = self.standing(now, fingerprint);
-                changed.extend(standing.map(|standing| (fingerprint, standing)));
+                let assessment = self.assess(now, fingerprint);
+                changed.extend(assessment.map(|assessment| (fingerprint, assessment)));
             }
         }
         changed
@@ -194,14 +198,14 @@
     }
 
     /// What was written to the log may be lost.
-    pub fn write_again(&mut self) {
+    pub fn mark_unwritten(&mut self) {
         for suspect in self.suspects.values_mut() {
             suspect.is_unwritten |= suspect.witnessed_at.is_some();
         }
     }
 
     /// Forgets what is too old to matter.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.suspects
             .retain(|_, suspect| now.since(suspect.last_change()) < suspect.remembered_for());
         let suspects = &self.suspects;
@@ -215,8 +219,8 @@
     pub fn count(&self, now: Time) -> (usize, usize) {
         let fingerprints = self.suspects.keys();
         let held_back = fingerprints.filter(|fingerprint| {
-            let standing = self.standing(now, **fingerprint);
-            standing.is_some_and(|standing| standing.verdict != Verdict::Sent)
+            let assessment = self.assess(now, **fingerprint);
+            assessment.is_some_and(|assessment| assessment.verdict != Verdict::Allowed)
         });
         (held_back.count(), self.suspects.len())
     }
--- a/src/gateway/suspects/suspect.rs
+++ b/src/gateway/suspects/suspect.rs
@@ -46,7 +46,7 @@
 
 /// What is believed of a request's content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct Assessment {
     /// Upstreams that crashed under it since it was last answered.
     pub crashes: usize,
     /// Whether it may be sent.
@@ -57,24 +57,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// They may.
-    Sent,
+    Allowed,
     /// They are held back, for so long at least.
     HeldBack(Duration),
     /// They were held back for long enough that one of them is tried.
-    Tried,
+    Trial,
 }
 
 impl Suspect {
     /// What is believed of its content; none if nothing is known against it.
-    pub(super) fn standing(&self, now: Time) -> Option<Standing> {
+    pub(super) fn assess(&self, now: Time) -> Option<Assessment> {
         let last = self.last_crash()?;
         let left = self.held_back_for().saturating_sub(now.since(last));
         let verdict = match self.crashes.len() {
-            ..CRASHES_MAX => Verdict::Sent,
-            _ if left.is_zero() => Verdict::Tried,
+            ..CRASHES_MAX => Verdict::Allowed,
+            _ if left.is_zero() => Verdict::Trial,
             _ => Verdict::HeldBack(left),
         };
-        Some(Standing {
+        Some(Assessment {
             crashes: self.crashes.len(),
             verdict,
         })
--- a/src/gateway/suspects/telling.rs
+++ b/src/gateway/suspects/telling.rs
@@ -28,7 +28,7 @@
 
 /// What a host tells of one content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct AnnouncedSuspect {
     /// The content.
     pub fingerprint: Fingerprint,
     /// The upstreams that crashed, each with the time since then in milliseconds.
@@ -39,7 +39,7 @@
 
 impl Suspects {
     /// What this host tells with its next datagram: its news, and from time to time older suspects in turn.
-    pub fn tell(&mut self, now: Time) -> Vec<ToldSuspect> {
+    pub fn announce(&mut self, now: Time) -> Vec<AnnouncedSuspect> {
         let mut told: Vec<Fingerprint> = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
             if suspect.tellings_left > 0 && told.len() < NEWS_TOLD {
@@ -53,18 +53,18 @@
             }
         }
         let told = told.into_iter();
-        told.filter_map(|fingerprint| self.told(now, fingerprint))
+        told.filter_map(|fingerprint| self.snapshot(now, fingerprint))
             .collect()
     }
 
     /// The suspects under which this host saw an upstream crash after `since`.
-    pub fn witnessed(&self, now: Time, since: Time) -> Vec<ToldSuspect> {
+    pub fn observed_since(&self, now: Time, since: Time) -> Vec<AnnouncedSuspect> {
         let suspects = self.suspects.iter();
         let witnessed = suspects
             .filter(|(_, suspect)| suspect.witnessed_at.is_some_and(|at| at > since))
             .take(NEWS_TOLD);
         witnessed
-            .filter_map(|(fingerprint, _)| self.told(now, *fingerprint))
+            .filter_map(|(fingerprint, _)| self.snapshot(now, *fingerprint))
             .collect()
     }
 
@@ -103,10 +103,10 @@
     }
 
     /// What this host knows of a content, for others.
-    pub fn told(&self, now: Time, fingerprint: Fingerprint) -> Option<ToldSuspect> {
+    pub fn snapshot(&self, now: Time, fingerprint: Fingerprint) -> Option<AnnouncedSuspect> {
         let suspect = self.suspects.get(&fingerprint)?;
         let crashes = suspect.crashes.iter();
-        Some(ToldSuspect {
+        Some(AnnouncedSuspect {
             fingerprint,
             crashes: crashes
                 .map(|crash| (crash.upstream, ms_since(now, crash.at)))
--- a/src/gateway/suspects/tests.rs
+++ b/src/gateway/suspects/tests.rs
@@ -1,12 +1,12 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
+use super::AnnouncedSuspect;
 use super::CRASHES_MAX;
 use super::LISTED_WITHOUT;
-use super::Listed;
+use super::ListedUpstreams;
 use super::REQUESTS_MAX;
 use super::Suspects;
-use super::ToldSuspect;
 use super::Verdict;
 use super::suspect::HELD_BACK_MAX;
 use super::suspect::HELD_BACK_MIN;
@@ -46,14 +46,14 @@
 fn witness(crashes: usize) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..crashes {
-        suspects.crashed(at(1_000 * number as u64), content(0), &upstream(number));
+        suspects.record_crash(at(1_000 * number as u64), content(0), &upstream(number));
     }
     suspects
 }
 
 fn is_held_back(suspects: &Suspects, now: Time, number: usize) -> bool {
-    let standing = suspects.standing(now, content(number));
-    standing.is_some_and(|standing| matches!(standing.verdict, Verdict::HeldBack(_)))
+    let assessment = suspects.assess(now, content(number));
+    assessment.is_some_and(|assessment| matches!(assessment.verdict, Verdict::HeldBack(_)))
 }
 
 #[test]
@@ -70,28 +70,28 @@
     let mut suspects = witness(1);
     let mut other = witness(1);
     for ms in 0..5 {
-        suspects.crashed(at(ms), content(0), &upstream(0));
-        suspects.hear(at(ms), &other.tell(at(ms)));
+        suspects.record_crash(at(ms), content(0), &upstream(0));
+        suspects.merge(at(ms), &other.announce(at(ms)));
     }
 
-    let standing = suspects.standing(at(9), content(0)).unwrap();
+    let assessment = suspects.assess(at(9), content(0)).unwrap();
 
-    assert_eq!(standing.crashes, 1);
+    assert_eq!(assessment.crashes, 1);
 }
 
 #[test]
 fn hosts_that_saw_one_crash_each_hold_back_together_in_any_order() {
-    let told: Vec<ToldSuspect> = (0..CRASHES_MAX)
+    let told: Vec<AnnouncedSuspect> = (0..CRASHES_MAX)
         .flat_map(|number| {
             let mut seer = Suspects::default();
-            seer.crashed(at(0), content(0), &upstream(number));
-            seer.tell(at(1))
+            seer.record_crash(at(0), content(0), &upstream(number));
+            seer.announce(at(1))
         })
         .collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0]] {
         let mut suspects = Suspects::default();
         for index in order {
-            suspects.hear(at(2), &told[index..=index]);
+            suspects.merge(at(2), &told[index..=index]);
         }
         assert!(is_held_back(&suspects, at(3), 0), "{order:?}");
     }
@@ -104,15 +104,15 @@
     let mut lasted = Vec::new();
 
     for number in CRASHES_MAX..12 {
-        let standing = suspects.standing(now, content(0)).unwrap();
-        let Verdict::HeldBack(left) = standing.verdict else {
-            panic!("{standing:?}");
+        let assessment = suspects.assess(now, content(0)).unwrap();
+        let Verdict::HeldBack(left) = assessment.verdict else {
+            panic!("{assessment:?}");
         };
         lasted.push(left.as_secs());
         now = now + left;
-        let after = suspects.standing(now, content(0)).unwrap();
-        assert_eq!(after.verdict, Verdict::Tried);
-        suspects.crashed(now, content(0), &upstream(number));
+        let after = suspects.assess(now, content(0)).unwrap();
+        assert_eq!(after.verdict, Verdict::Trial);
+        suspects.record_crash(now, content(0), &upstream(number));
     }
 
     assert_eq!(lasted[..5], [15, 120, 960, 7_680, 21_600]);
@@ -141,11 +141,11 @@
     let mut suspects = witness(CRASHES_MAX);
     let mut other = witness(CRASHES_MAX);
 
-    suspects.answered(at(5_000), content(0));
-    let told = suspects.tell(at(5_001));
-    other.hear(at(5_002), &told);
+    suspects.record_answer(at(5_000), content(0));
+    let told = suspects.announce(at(5_001));
+    other.merge(at(5_002), &told);
     // Who has not heard yet tells of the crashes before.
-    suspects.hear(at(5_003), &witness(CRASHES_MAX).tell(at(5_003)));
+    suspects.merge(at(5_003), &witness(CRASHES_MAX).announce(at(5_003)));
 
     assert!(!is_held_back(&suspects, at(5_004), 0));
     assert!(!is_held_back(&other, at(5_004), 0));
@@ -155,17 +155,17 @@
 fn an_upstream_that_answers_a_later_request_has_not_crashed() {
     let mut suspects = witness(CRASHES_MAX);
 
-    suspects.alive(at(1_500), &upstream(1));
-    suspects.hear(at(2_500), &witness(CRASHES_MAX).tell(at(2_500)));
+    suspects.record_alive(at(1_500), &upstream(1));
+    suspects.merge(at(2_500), &witness(CRASHES_MAX).announce(at(2_500)));
 
-    assert_eq!(suspects.standing(at(3_000), content(0)).unwrap().crashes, 2);
+    assert_eq!(suspects.assess(at(3_000), content(0)).unwrap().crashes, 2);
 }
 
 #[test]
 fn an_answer_to_an_earlier_request_proves_nothing() {
     let mut suspects = witness(CRASHES_MAX);
 
-    suspects.alive(at(900), &upstream(1));
+    suspects.record_alive(at(900), &upstream(1));
 
     assert!(is_held_back(&suspects, at(3_000), 0));
 }
@@ -176,21 +176,21 @@
     let listed = HashSet::from([upstream(2).key()]);
     let lapsed = at(2_001) + LISTED_WITHOUT;
 
-    suspects.look_at_listed(at(2_000), &Listed::Fresh(listed.clone()));
-    suspects.look_at_listed(lapsed, &Listed::Fresh(listed));
+    suspects.check_listed(at(2_000), &ListedUpstreams::Fresh(listed.clone()));
+    suspects.check_listed(lapsed, &ListedUpstreams::Fresh(listed));
 
-    assert_eq!(suspects.standing(lapsed, content(0)).unwrap().crashes, 2);
+    assert_eq!(suspects.assess(lapsed, content(0)).unwrap().crashes, 2);
 }
 
 #[test]
 fn a_list_that_may_be_old_acquits_nobody() {
     let mut suspects = witness(CRASHES_MAX);
-    let listed = || Listed::Fresh(HashSet::from([upstream(2).key()]));
+    let listed = || ListedUpstreams::Fresh(HashSet::from([upstream(2).key()]));
     let lapsed = at(2_001) + LISTED_WITHOUT;
 
-    suspects.look_at_listed(at(2_000), &listed());
-    suspects.look_at_listed(at(4_000), &Listed::Unknown);
-    suspects.look_at_listed(lapsed, &listed());
+    suspects.check_listed(at(2_000), &listed());
+    suspects.check_listed(at(4_000), &ListedUpstreams::Unknown);
+    suspects.check_listed(lapsed, &listed());
 
     assert!(is_held_back(&suspects, lapsed, 0));
 }
@@ -199,13 +199,13 @@
 fn news_is_told_several_times_and_the_rest_in_turn() {
     let mut suspects = Suspects::default();
     for number in 0..40 {
-        suspects.crashed(at(0), content(number), &upstream(0));
+        suspects.record_crash(at(0), content(number), &upstream(0));
     }
     let mut told = HashSet::new();
     let mut tellings = 0;
 
     for round in 0..400 {
-        let datagram = suspects.tell(at(250 * round));
+        let datagram = suspects.announce(at(250 * round));
         tellings += datagram.len();
         told.extend(datagram.iter().map(|suspect| suspect.fingerprint));
         assert!(datagram.len() <= NEWS_TOLD + 4);
@@ -224,7 +224,7 @@
     let mut suspects = witness(CRASHES_MAX);
     for number in 1..2 * REQUESTS_MAX {
         let now = at(3_000 + number as u64);
-        suspects.crashed(now, content(number), &upstream(number));
+        suspects.record_crash(now, content(number), &upstream(number));
     }
 
     let (held_back, known) = suspects.count(at(4_000));
@@ -236,7 +236,7 @@
 fn what_is_old_is_forgotten() {
     let mut suspects = witness(1);
 
-    suspects.lapse(at(0) + REMEMBERED);
+    suspects.expire(at(0) + REMEMBERED);
 
     assert_eq!(suspects.count(at(0) + REMEMBERED), (0, 0));
 }
@@ -244,13 +244,13 @@
 #[test]
 fn ages_beyond_the_hosts_own_are_taken_for_its_start() {
     let mut suspects = Suspects::default();
-    let told = ToldSuspect {
+    let told = AnnouncedSuspect {
         fingerprint: content(0),
         crashes: vec![(upstream(0).key(), u32::MAX); 300],
         answered_ms_ago: Some(u32::MAX),
     };
 
-    suspects.hear(at(0), &[told]);
+    suspects.merge(at(0), &[told]);
 
-    assert_eq!(suspects.standing(at(0), content(0)).unwrap().crashes, 1);
+    assert_eq!(suspects.assess(at(0), content(0)).unwrap().crashes, 1);
 }
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -6,9 +6,9 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
+use super::super::AnnouncedSuspect;
 use super::super::CRASHES_MAX;
 use super::super::Suspects;
-use super::super::ToldSuspect;
 use super::at;
 use super::content;
 use super::is_held_back;
@@ -64,10 +64,10 @@
             .collect()
     }
 
-    fn send(&mut self, now: Time, targets: &[usize], told: &[ToldSuspect]) {
+    fn send(&mut self, now: Time, targets: &[usize], told: &[AnnouncedSuspect]) {
         for target in targets {
             if !self.random.random_bool(LOSS) {
-                self.hosts[*target].suspects.hear(now, told);
+                self.hosts[*target].suspects.merge(now, told);
             }
         }
     }
@@ -75,8 +75,8 @@
     /// A host sees an upstream crash and tells all whom it knows at once: its data centre and some of each other.
     fn witness(&mut self, now: Time, host: usize, crashed: usize) {
         let suspects = &mut self.hosts[host].suspects;
-        suspects.crashed(now, content(0), &upstream(crashed));
-        let told = suspects.witnessed(now, Time::from_us(now.as_us() - 1));
+        suspects.record_crash(now, content(0), &upstream(crashed));
+        let told = suspects.observed_since(now, Time::from_us(now.as_us() - 1));
         let here = host % self.data_centres;
         for data_centre in 0..self.data_centres {
             let mut known = self.hosts_in(data_centre);
@@ -92,12 +92,12 @@
         let near = self.hosts_in(here);
         if self.hosts[host].next_near <= now {
             self.hosts[host].next_near = now + interval_among(near.len());
-            let told = self.hosts[host].suspects.tell(now);
+            let told = self.hosts[host].suspects.announce(now);
             self.send(now, &near, &told);
         }
         if self.hosts[host].next_far <= now {
             self.hosts[host].next_far = now + FAR_INTERVAL;
-            let told = self.hosts[host].suspects.tell(now);
+            let told = self.hosts[host].suspects.announce(now);
             for data_centre in (0..self.data_centres).filter(|other| *other != here) {
                 let there = self.hosts_in(data_centre);
                 let from = self.random.random_range(0..there.len());
--- a/src/gateway/wakefulness.rs
+++ b/src/gateway/suspension.rs
@@ -18,16 +18,16 @@
 
 /// What the clocks have shown. Both begin at zero with the process.
 #[derive(Debug, Default)]
-pub(crate) struct Wakefulness {
+pub(crate) struct SuspensionDetector {
     last: (Time, Time),
-    woken_at: Option<Time>,
+    resumed_at: Option<Time>,
     last_suspension: Duration,
 }
 
-impl Wakefulness {
+impl SuspensionDetector {
     /// Compares the clocks: `now` counts suspensions, `steady` doesn't. For how long the host was suspended since
     /// the last look, if it was.
-    pub(crate) fn look(&mut self, now: Time, steady: Time) -> Option<Duration> {
+    pub(crate) fn check(&mut self, now: Time, steady: Time) -> Option<Duration> {
         let (last_now, last_steady) = std::mem::replace(&mut self.last, (now, steady));
         let suspended = now
             .since(last_now)
@@ -35,14 +35,14 @@
         if suspended < SUSPENSION_MIN {
             return None;
         }
-        self.woken_at = Some(now);
+        self.resumed_at = Some(now);
         self.last_suspension = suspended;
         Some(suspended)
     }
 
     /// When the host woke, if that is so lately that it may still not know what changed.
-    pub(crate) fn woken_at(&self, now: Time) -> Option<Time> {
-        self.woken_at.filter(|at| now.since(*at) < WAKING_MAX)
+    pub(crate) fn resumed_at(&self, now: Time) -> Option<Time> {
+        self.resumed_at.filter(|at| now.since(*at) < WAKING_MAX)
     }
 
     /// How long the last suspension was; zero if there was none.
