--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -18,7 +18,7 @@
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
-use crate::gateway::rollouts::ToldRollout;
+use crate::gateway::rollouts::AnnouncedRollout;
 use crate::gateway::rollouts::evidence::ToldEvidence;
 use crate::gateway::suspects::ToldSuspect;
 use crate::gateway::turns::ToMove;
@@ -102,7 +102,7 @@
     /// The data centres that operators have evacuated.
     pub evacuations: ToldEvacuations,
     /// The newest order to roll a version out of each service.
-    pub rollouts: Vec<ToldRollout>,
+    pub rollouts: Vec<AnnouncedRollout>,
     /// What was seen of the versions that are tried.
     pub evidence: ToldTrials,
     /// The log's position up to which it has read the upstreams.
--- a/src/gateway/directory/taking.rs
+++ b/src/gateway/directory/taking.rs
@@ -72,12 +72,12 @@
             .cloned()
             .collect();
         match (track, chosen.is_empty()) {
-            (Track::Tried, false) => first_of_each_data_centre(chosen),
-            (Track::Tried, true) => self.ready_for(service, Track::Proved, within),
-            (Track::Proved, false) => chosen,
-            (Track::Proved, true) if self.lists_any(service, |up| allows(up, track)) => chosen,
-            (Track::Proved, true) => {
-                let allowed = ready.into_iter().filter(|up| allows(up, Track::Tried));
+            (Track::Trial, false) => first_of_each_data_centre(chosen),
+            (Track::Trial, true) => self.ready_for(service, Track::Stable, within),
+            (Track::Stable, false) => chosen,
+            (Track::Stable, true) if self.lists_any(service, |up| allows(up, track)) => chosen,
+            (Track::Stable, true) => {
+                let allowed = ready.into_iter().filter(|up| allows(up, Track::Trial));
                 allowed.collect()
             }
         }
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -60,7 +60,7 @@
 
     /// Whether this host learnt something of roll-outs since the round before that no other host has told.
     fn tells_rollouts(&mut self, shared: &Shared) -> bool {
-        let news = shared.directory(|directory| directory.rollouts().own_news());
+        let news = shared.directory(|directory| directory.rollouts().local_changes());
         std::mem::replace(&mut self.told_rollouts, news) != news
     }
 
--- a/src/gateway/line.rs
+++ b/src/gateway/line.rs
@@ -244,7 +244,7 @@
         }
         // A version that is tried is no reason to wait.
         let is_start = matches!(verdict, Verdict::Start(_));
-        if !is_start && admitted.track.replace(Track::Proved) == Track::Tried {
+        if !is_start && admitted.track.replace(Track::Stable) == Track::Trial {
             continue;
         }
         match verdict {
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -31,7 +31,7 @@
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::OwnCall;
-use crate::gateway::rollouts::ToldRollout;
+use crate::gateway::rollouts::AnnouncedRollout;
 use crate::gateway::serving::Serving;
 use crate::gateway::shared::Shared;
 use crate::gateway::shared::ToldBy;
@@ -63,7 +63,7 @@
     /// Which of them get no new work because operators have evacuated their data centres.
     evacuations: ToldEvacuations,
     /// What operators have ordered to be rolled out.
-    rollouts: Vec<ToldRollout>,
+    rollouts: Vec<AnnouncedRollout>,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -7,7 +7,7 @@
 //! ([`evidence`]); for a moment before the end all new work goes to the new version, so that the old one
 //! is empty when the platform stops it.
 //!
-//! An order is known by the position of its record: a later one replaces it. The stage of an order only rises,
+//! An order is known by the position of its record: a later one replaces it. The stage of an order only advances,
 //! so words of hosts merge in whatever order they arrive.
 
 use std::collections::BTreeMap;
@@ -27,17 +27,17 @@
 pub mod evidence;
 
 /// Of what a bad version may get, the part that is used before it has proved good.
-const TRIED_SHARE: f64 = 0.5;
+const TRIAL_SHARE: f64 = 0.5;
 /// The same of a host that doesn't know for how long the order has stood.
-const TRIED_SHARE_UNDATED: f64 = 0.2;
+const TRIAL_SHARE_UNDATED: f64 = 0.2;
 /// The part of what a bad version may get that is left alone by all.
-const SPARE: f64 = 0.1;
+const RESERVED_SHARE: f64 = 0.1;
 /// A version takes over this long after its order, as a part of the time that operators give.
-const OVER_AFTER: f64 = 0.8;
+const SHIFT_END_FRACTION: f64 = 0.8;
 /// A version of which little has been seen by then is tried until this part of the time has passed.
-const TRIED_UNTIL: f64 = 0.92;
+const TRIAL_END_FRACTION: f64 = 0.92;
 /// One that has not proved good after this part of it is given up.
-const GIVEN_UP_AFTER: f64 = 0.97;
+const GIVE_UP_FRACTION: f64 = 0.97;
 /// Time for which new work goes to the new version before the old one is stopped: calls end in it, and
 /// generations are moved.
 const SHIFT_MIN: Duration = Duration::from_millis(300);
@@ -45,7 +45,7 @@
 /// Answers of the new version before it takes over.
 const ANSWERS_MIN: u32 = 20;
 /// The same when the time is nearly up.
-const ANSWERS_FEW: u32 = 4;
+const LATE_ANSWERS_MIN: u32 = 4;
 
 /// How many requests a bad version may get of all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -123,7 +123,7 @@
 
 /// A roll-out as hosts tell it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRollout {
+pub struct AnnouncedRollout {
     /// The service.
     pub service: ServiceId,
     /// The position of the order's record.
@@ -159,14 +159,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Track {
     /// Those that have proved good.
-    Proved,
+    Stable,
     /// Those of the version that is tried.
-    Tried,
+    Trial,
 }
 
 /// What the next step of an order is.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Due {
+pub enum DueStep {
     /// None yet.
     Nothing,
     /// All new work goes to the new version.
@@ -193,22 +193,22 @@
     stage_since: Time,
     barred: BTreeSet<VersionId>,
     /// Requests that this host may still give to the version that is tried; none before its first request.
-    credit: Option<f64>,
+    trial_credit: Option<f64>,
 }
 
 impl Rollout {
-    fn new(now: Time, told: &ToldRollout, barred: BTreeSet<VersionId>) -> Self {
+    fn new(now: Time, told: &AnnouncedRollout, barred: BTreeSet<VersionId>) -> Self {
         Rollout {
             service: told.service.clone(),
             ordered_at: told.ordered_at,
             to: told.to.clone(),
             duration: Duration::from_millis(u64::from(told.duration_ms)),
             learnt_at: now,
-            age_when_learnt: told.age_ms.map(age_of),
+            age_when_learnt: told.age_ms.map(duration_from_ms),
             stage: told.stage,
             stage_since: now,
             barred,
-            credit: None,
+            trial_credit: None,
         }
     }
 
@@ -254,16 +254,16 @@
         }
         let is_new = *version == self.to;
         match (self.stage, track) {
-            (Stage::Trial, Track::Tried) => is_new,
-            (Stage::Trial, Track::Proved) | (Stage::Reverting | Stage::Reverted, _) => !is_new,
+            (Stage::Trial, Track::Trial) => is_new,
+            (Stage::Trial, Track::Stable) | (Stage::Reverting | Stage::Reverted, _) => !is_new,
             (Stage::Shift | Stage::Complete, _) => is_new,
             (Stage::Withdrawn, _) => true,
         }
     }
 
-    fn tell(&self, now: Time) -> ToldRollout {
+    fn announce(&self, now: Time) -> AnnouncedRollout {
         let ms = |time: Duration| u32::try_from(time.as_millis()).unwrap_or(u32::MAX);
-        ToldRollout {
+        AnnouncedRollout {
             service: self.service.clone(),
             ordered_at: self.ordered_at,
             to: self.to.clone(),
@@ -274,7 +274,7 @@
         }
     }
 
-    fn change(&self, is_new: bool) -> RolloutChange {
+    fn to_change(&self, is_new: bool) -> RolloutChange {
         RolloutChange {
             service: self.service.clone(),
             ordered_at: self.ordered_at,
@@ -285,99 +285,102 @@
     }
 
     /// Takes another word of the same order; whether it has come further.
-    fn merge(&mut self, now: Time, told: &ToldRollout) -> bool {
-        if let Some(age) = told.age_ms.map(age_of) {
+    fn merge(&mut self, now: Time, told: &AnnouncedRollout) -> bool {
+        if let Some(age) = told.age_ms.map(duration_from_ms) {
             // Datagrams take a while, so the highest age is the truest.
             let known = self.is_dated().then(|| self.age(now));
             self.age_when_learnt = Some(age.max(known.unwrap_or_default()));
             self.learnt_at = now;
         }
         self.barred.extend(told.barred.iter().cloned());
-        self.rise(now, told.stage)
+        self.advance(now, told.stage)
     }
 
-    fn rise(&mut self, now: Time, stage: Stage) -> bool {
-        let rises = stage > self.stage;
-        if rises {
+    fn advance(&mut self, now: Time, stage: Stage) -> bool {
+        let advances = stage > self.stage;
+        if advances {
             self.stage = stage;
             self.stage_since = now;
         }
-        rises
+        advances
     }
 
     /// Share of this host's requests that the version gets while it is tried.
-    fn share(&self, bound: ExposureBound) -> f64 {
+    fn trial_share(&self, bound: ExposureBound) -> f64 {
         let used = match self.is_dated() {
-            true => TRIED_SHARE,
-            false => TRIED_SHARE_UNDATED,
+            true => TRIAL_SHARE,
+            false => TRIAL_SHARE_UNDATED,
         };
         bound.share * used
     }
 
     /// How long all new work may go to the new version, at so many requests a second, before it has got what a
     /// bad one may get.
-    fn shift_time(&self, bound: ExposureBound, requests_per_s: f64) -> Duration {
+    fn shift_duration(&self, bound: ExposureBound, requests_per_s: f64) -> Duration {
         let whole = bound.share * requests_per_s * self.duration.as_secs_f64() + bound.slack;
-        let tried = self.share(bound) * requests_per_s * self.duration.as_secs_f64()
-            + bound.slack * TRIED_SHARE;
-        let left = whole * (1.0 - SPARE) - tried;
+        let tried = self.trial_share(bound) * requests_per_s * self.duration.as_secs_f64()
+            + bound.slack * TRIAL_SHARE;
+        let left = whole * (1.0 - RESERVED_SHARE) - tried;
         let seconds = (left / requests_per_s.max(1.0)).max(0.0);
         Duration::from_secs_f64(seconds).clamp(SHIFT_MIN, SHIFT_MAX)
     }
 
     /// What the next step is. `evidence` is of all hosts that are heard, `judgement` what it comes to, and
     /// `new_upstreams` the number of those of the new version.
-    pub fn due(
+    pub fn due_step(
         &self,
         now: Time,
         bound: ExposureBound,
         evidence: &Evidence,
         judgement: Option<&Judgement>,
         new_upstreams: usize,
-    ) -> Due {
+    ) -> DueStep {
         if let (Stage::Trial | Stage::Shift, Some(judgement)) = (self.stage, judgement) {
-            return Due::Revert(judgement.to_string());
+            return DueStep::Revert(judgement.to_string());
         }
         let age = self.age(now);
-        let shift_time = self.shift_time(bound, evidence.requests_per_s());
-        let given_up_at = self.duration.mul_f64(GIVEN_UP_AFTER);
+        let shift_duration = self.shift_duration(bound, evidence.requests_per_s());
+        let give_up_at = self.duration.mul_f64(GIVE_UP_FRACTION);
         match self.stage {
             Stage::Trial => {
                 let answers = evidence.new_answers();
-                let shift_at = self.duration.mul_f64(OVER_AFTER).saturating_sub(shift_time);
-                let tried_until = self.duration.mul_f64(TRIED_UNTIL);
-                let is_tried = answers >= ANSWERS_MIN && evidence.has_tried_all_routes();
+                let shift_at = self
+                    .duration
+                    .mul_f64(SHIFT_END_FRACTION)
+                    .saturating_sub(shift_duration);
+                let trial_end = self.duration.mul_f64(TRIAL_END_FRACTION);
+                let has_enough_answers = answers >= ANSWERS_MIN && evidence.has_tried_all_routes();
                 let is_in_doubt = evidence.is_in_doubt();
-                let is_due = age >= shift_at && is_tried && new_upstreams > 0
-                    || age >= tried_until && answers >= ANSWERS_FEW;
+                let is_due = age >= shift_at && has_enough_answers && new_upstreams > 0
+                    || age >= trial_end && answers >= LATE_ANSWERS_MIN;
                 if is_due && !is_in_doubt {
-                    Due::Shift
-                } else if age < given_up_at {
-                    Due::Nothing
+                    DueStep::Shift
+                } else if age < give_up_at {
+                    DueStep::Nothing
                 } else {
-                    Due::GiveUp(format!(
+                    DueStep::GiveUp(format!(
                         "the time is nearly up, {new_upstreams} upstreams of the version gave {answers} answers"
                     ))
                 }
             }
-            Stage::Shift if now.since(self.stage_since) < shift_time => Due::Nothing,
-            Stage::Shift if !evidence.is_in_doubt() => Due::Complete,
-            Stage::Shift if age >= given_up_at => {
-                Due::GiveUp("it may be bad, and the time is nearly up".to_owned())
+            Stage::Shift if now.since(self.stage_since) < shift_duration => DueStep::Nothing,
+            Stage::Shift if !evidence.is_in_doubt() => DueStep::Complete,
+            Stage::Shift if age >= give_up_at => {
+                DueStep::GiveUp("it may be bad, and the time is nearly up".to_owned())
             }
-            Stage::Reverting => Due::Revert("it was judged bad before".to_owned()),
-            Stage::Shift | Stage::Reverted | Stage::Complete | Stage::Withdrawn => Due::Nothing,
+            Stage::Reverting => DueStep::Revert("it was judged bad before".to_owned()),
+            Stage::Shift | Stage::Reverted | Stage::Complete | Stage::Withdrawn => DueStep::Nothing,
         }
     }
 }
 
-fn age_of(ms: u32) -> Duration {
+fn duration_from_ms(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
 
 /// The hosts among which what is given to a version beside its share is divided.
 #[derive(Debug, Clone, Copy)]
-pub struct TrialShare {
+pub struct TrialBudget {
     /// The bound.
     pub bound: ExposureBound,
     /// Hosts that share it.
@@ -389,7 +392,7 @@
 pub struct Rollouts {
     by_service: BTreeMap<ServiceId, Rollout>,
     /// Rises with what this host learnt for itself.
-    own_news: u64,
+    local_changes: u64,
 }
 
 impl Rollouts {
@@ -410,25 +413,25 @@
     }
 
     /// Rises with what this host learnt for itself, which others have to be told at once.
-    pub fn own_news(&self) -> u64 {
-        self.own_news
+    pub fn local_changes(&self) -> u64 {
+        self.local_changes
     }
 
     /// What this host knows, for others.
-    pub fn tell(&self, now: Time) -> Vec<ToldRollout> {
+    pub fn announce(&self, now: Time) -> Vec<AnnouncedRollout> {
         let all = self.by_service.values();
-        all.map(|rollout| rollout.tell(now)).collect()
+        all.map(|rollout| rollout.announce(now)).collect()
     }
 
     /// Takes what another host tells.
-    pub fn hear(&mut self, now: Time, told: &[ToldRollout]) -> Vec<RolloutChange> {
+    pub fn receive(&mut self, now: Time, told: &[AnnouncedRollout]) -> Vec<RolloutChange> {
         told.iter()
-            .filter_map(|told| self.take(now, told))
+            .filter_map(|told| self.apply(now, told))
             .collect()
     }
 
     /// Takes a record of the operators. `is_fresh` tells whether it was written a moment ago.
-    pub fn read(
+    pub fn apply_record(
         &mut self,
         now: Time,
         record: &RolloutRecord,
@@ -443,7 +446,7 @@
                 Stage::Withdrawn,
             ),
         };
-        let told = ToldRollout {
+        let told = AnnouncedRollout {
             service: record.service.clone(),
             ordered_at: at,
             to,
@@ -452,26 +455,26 @@
             stage,
             barred: BTreeSet::new(),
         };
-        let change = self.take(now, &told);
-        self.own_news += u64::from(change.is_some());
+        let change = self.apply(now, &told);
+        self.local_changes += u64::from(change.is_some());
         change
     }
 
-    fn take(&mut self, now: Time, told: &ToldRollout) -> Option<RolloutChange> {
+    fn apply(&mut self, now: Time, told: &AnnouncedRollout) -> Option<RolloutChange> {
         let known = self.by_service.get_mut(&told.service);
         match known {
             Some(known) if known.ordered_at > told.ordered_at => None,
             Some(known) if known.ordered_at == told.ordered_at => {
-                known.merge(now, told).then(|| known.change(false))
+                known.merge(now, told).then(|| known.to_change(false))
             }
             known => {
                 let mut barred = told.barred.clone();
                 if let Some(known) = known {
-                    barred.extend(known.unproved());
+                    barred.extend(known.unproven_versions());
                 }
                 barred.remove(&told.to);
                 let rollout = Rollout::new(now, told, barred);
-                let change = rollout.change(true);
+                let change = rollout.to_change(true);
                 self.by_service.insert(told.service.clone(), rollout);
                 Some(change)
             }
@@ -479,7 +482,7 @@
     }
 
     /// An order has come further, by what this host saw or did.
-    pub fn rise(
+    pub fn advance(
         &mut self,
         now: Time,
         service: &ServiceId,
@@ -487,39 +490,45 @@
         stage: Stage,
     ) -> Option<RolloutChange> {
         let rollout = self.by_service.get_mut(service)?;
-        let rises = rollout.ordered_at == ordered_at && rollout.rise(now, stage);
-        self.own_news += u64::from(rises);
-        rises.then(|| rollout.change(false))
+        let advances = rollout.ordered_at == ordered_at && rollout.advance(now, stage);
+        self.local_changes += u64::from(advances);
+        advances.then(|| rollout.to_change(false))
     }
 
-    /// Which upstreams a request of a service goes to that arrived now. `draw` is a random number from 0 to 1.
-    pub fn draw(&mut self, now: Time, service: &ServiceId, share: TrialShare, draw: f64) -> Track {
+    /// Which upstreams a request of a service goes to that arrived now. `sample` is a random number from 0 to 1.
+    pub fn assign_track(
+        &mut self,
+        now: Time,
+        service: &ServiceId,
+        budget: TrialBudget,
+        sample: f64,
+    ) -> Track {
         let Some(rollout) = self.by_service.get_mut(service) else {
-            return Track::Proved;
+            return Track::Stable;
         };
         if rollout.stage != Stage::Trial || rollout.age(now) > rollout.duration {
-            return Track::Proved;
+            return Track::Stable;
         }
-        let per_request = rollout.share(share.bound);
+        let per_request = rollout.trial_share(budget.bound);
         // A process that starts after the order leaves the slack to those that were there.
-        let was_there = rollout.is_dated() && rollout.age(now) < now.since(Time::ZERO);
-        let slack = match was_there {
-            true => share.bound.slack * TRIED_SHARE / share.hosts.max(1) as f64,
+        let started_before_order = rollout.is_dated() && rollout.age(now) < now.since(Time::ZERO);
+        let slack = match started_before_order {
+            true => budget.bound.slack * TRIAL_SHARE / budget.hosts.max(1) as f64,
             false => 0.0,
         };
-        let credit = rollout.credit.get_or_insert(draw + slack);
-        *credit += per_request;
-        if *credit < 1.0 {
-            return Track::Proved;
+        let trial_credit = rollout.trial_credit.get_or_insert(sample + slack);
+        *trial_credit += per_request;
+        if *trial_credit < 1.0 {
+            return Track::Stable;
         }
-        *credit -= 1.0;
-        Track::Tried
+        *trial_credit -= 1.0;
+        Track::Trial
     }
 }
 
 impl Rollout {
     /// The versions that have not proved good when a later order comes.
-    fn unproved(&self) -> BTreeSet<VersionId> {
+    fn unproven_versions(&self) -> BTreeSet<VersionId> {
         match self.stage {
             Stage::Complete => BTreeSet::new(),
             Stage::Trial | Stage::Shift | Stage::Reverting | Stage::Reverted | Stage::Withdrawn => {
--- a/src/gateway/rollouts/tests.rs
+++ b/src/gateway/rollouts/tests.rs
@@ -9,7 +9,7 @@
 use super::Rollouts;
 use super::Stage;
 use super::Track;
-use super::TrialShare;
+use super::TrialBudget;
 use crate::clock::Time;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
@@ -40,7 +40,7 @@
     let mut rollouts = Rollouts::default();
     for (index, version) in versions.iter().enumerate() {
         let now = Time::from_ms(60_000 + 1_000 * index as u64);
-        rollouts.read(now, &order(version), at(index as u64), true);
+        rollouts.apply_record(now, &order(version), at(index as u64), true);
     }
     rollouts
 }
@@ -53,18 +53,18 @@
         .collect()
 }
 
-fn share(hosts: usize) -> TrialShare {
-    TrialShare {
+fn share(hosts: usize) -> TrialBudget {
+    TrialBudget {
         bound: ExposureBound::default(),
         hosts,
     }
 }
 
 /// How many of `requests` at one host go to the version that is tried.
-fn tried(rollouts: &mut Rollouts, requests: usize, share: TrialShare) -> usize {
+fn tried(rollouts: &mut Rollouts, requests: usize, share: TrialBudget) -> usize {
     let now = Time::from_ms(62_000);
-    let tracks = (0..requests).map(|_| rollouts.draw(now, &service(), share, 0.5));
-    tracks.filter(|track| *track == Track::Tried).count()
+    let tracks = (0..requests).map(|_| rollouts.assign_track(now, &service(), share, 0.5));
+    tracks.filter(|track| *track == Track::Trial).count()
 }
 
 #[test]
@@ -77,13 +77,13 @@
 // A process that starts, again and again, would else give the version the slack anew each time.
 #[test]
 fn a_process_that_started_after_the_order_leaves_the_slack_to_others() {
-    let told = ordered(&["v2"]).tell(Time::from_ms(65_000));
+    let told = ordered(&["v2"]).announce(Time::from_ms(65_000));
     let mut rollouts = Rollouts::default();
-    rollouts.hear(Time::from_ms(10), &told);
+    rollouts.receive(Time::from_ms(10), &told);
 
     let now = Time::from_ms(500);
-    let tracks = (0..10).map(|_| rollouts.draw(now, &service(), share(1), 0.4));
-    let tried = tracks.filter(|track| *track == Track::Tried).count();
+    let tracks = (0..10).map(|_| rollouts.assign_track(now, &service(), share(1), 0.4));
+    let tried = tracks.filter(|track| *track == Track::Trial).count();
 
     assert_eq!(tried, 0);
 }
@@ -91,16 +91,16 @@
 #[test]
 fn a_bad_version_gets_nothing_and_a_good_one_all() {
     let stages = [
-        (Stage::Trial, Track::Proved, vec!["v1", "v3"]),
-        (Stage::Trial, Track::Tried, vec!["v2"]),
-        (Stage::Shift, Track::Proved, vec!["v2"]),
-        (Stage::Reverting, Track::Tried, vec!["v1", "v3"]),
-        (Stage::Reverted, Track::Proved, vec!["v1", "v3"]),
-        (Stage::Complete, Track::Proved, vec!["v2"]),
+        (Stage::Trial, Track::Stable, vec!["v1", "v3"]),
+        (Stage::Trial, Track::Trial, vec!["v2"]),
+        (Stage::Shift, Track::Stable, vec!["v2"]),
+        (Stage::Reverting, Track::Trial, vec!["v1", "v3"]),
+        (Stage::Reverted, Track::Stable, vec!["v1", "v3"]),
+        (Stage::Complete, Track::Stable, vec!["v2"]),
     ];
     for (stage, track, expected) in stages {
         let mut rollouts = ordered(&["v2"]);
-        rollouts.rise(Time::from_ms(61_000), &service(), at(0), stage);
+        rollouts.advance(Time::from_ms(61_000), &service(), at(0), stage);
 
         assert_eq!(allowed(&rollouts, track), expected, "{stage:?}");
     }
@@ -111,26 +111,26 @@
 fn a_second_order_leaves_the_first_ones_version_without_work() {
     let rollouts = ordered(&["v2", "v3"]);
 
-    assert_eq!(allowed(&rollouts, Track::Proved), ["v1"]);
-    assert_eq!(allowed(&rollouts, Track::Tried), ["v3"]);
+    assert_eq!(allowed(&rollouts, Track::Stable), ["v1"]);
+    assert_eq!(allowed(&rollouts, Track::Trial), ["v3"]);
 }
 
 #[test]
 fn an_order_back_gives_the_version_before_its_work_again() {
     let rollouts = ordered(&["v2", "v1"]);
 
-    assert_eq!(allowed(&rollouts, Track::Tried), ["v1"]);
-    assert_eq!(allowed(&rollouts, Track::Proved), ["v3"]);
+    assert_eq!(allowed(&rollouts, Track::Trial), ["v1"]);
+    assert_eq!(allowed(&rollouts, Track::Stable), ["v3"]);
 }
 
 #[test]
 fn stages_only_rise_in_whatever_order_words_arrive() {
     let now = Time::from_ms(61_000);
     let mut ahead = ordered(&["v2"]);
-    ahead.rise(now, &service(), at(0), Stage::Reverted);
-    let behind = ordered(&["v2"]).tell(now);
+    ahead.advance(now, &service(), at(0), Stage::Reverted);
+    let behind = ordered(&["v2"]).announce(now);
 
-    let changes = ahead.hear(now, &behind);
+    let changes = ahead.receive(now, &behind);
 
     assert_eq!(changes, []);
     assert_eq!(ahead.get(&service()).unwrap().stage(), Stage::Reverted);
@@ -140,9 +140,9 @@
 fn an_older_order_replaces_no_newer_one() {
     let now = Time::from_ms(62_000);
     let mut newer = ordered(&["v2", "v3"]);
-    let older = ordered(&["v2"]).tell(now);
+    let older = ordered(&["v2"]).announce(now);
 
-    let changes = newer.hear(now, &older);
+    let changes = newer.receive(now, &older);
 
     assert_eq!(changes, []);
     assert_eq!(newer.get(&service()).unwrap().to().as_str(), "v3");
@@ -156,9 +156,9 @@
         ..order("v2")
     };
 
-    rollouts.read(Time::from_ms(63_000), &taken_back, at(9), true);
-    rollouts.read(Time::from_ms(64_000), &order("v3"), at(10), true);
+    rollouts.apply_record(Time::from_ms(63_000), &taken_back, at(9), true);
+    rollouts.apply_record(Time::from_ms(64_000), &order("v3"), at(10), true);
 
-    let barred = &rollouts.tell(Time::from_ms(64_000))[0].barred;
+    let barred = &rollouts.announce(Time::from_ms(64_000))[0].barred;
     assert_eq!(*barred, BTreeSet::from([VersionId::new("v2")]));
 }
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -13,7 +13,7 @@
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Teller;
-use crate::gateway::rollouts::Due;
+use crate::gateway::rollouts::DueStep;
 use crate::gateway::rollouts::ExposureBound;
 use crate::gateway::rollouts::RolloutOrder;
 use crate::gateway::rollouts::RolloutRecord;
@@ -119,7 +119,7 @@
         };
         for host in &mut self.hosts {
             let now = host.clock(ORDERED_AT_MS);
-            host.rollouts.read(now, &record, at(0), true);
+            host.rollouts.apply_record(now, &record, at(0), true);
         }
     }
 
@@ -169,7 +169,9 @@
         let now = host.clock(now_ms);
         self.requests += 1;
         host.evidences.requested(now, at(0));
-        let track = host.rollouts.draw(now, &service(), share(count), draw);
+        let track = host
+            .rollouts
+            .assign_track(now, &service(), share(count), draw);
         let rollout = host.rollouts.get(&service()).unwrap();
         let goes_to_new = rollout.allows(&VersionId::new("v2"), track);
         let is_cut = host.is_cut(now_ms);
@@ -244,7 +246,7 @@
         let told: Vec<_> = speaking
             .map(|(index, host)| {
                 let now = host.clock(now_ms);
-                (index, host.rollouts.tell(now), host.evidences.own(now))
+                (index, host.rollouts.announce(now), host.evidences.own(now))
             })
             .collect();
         for (to, host) in self.hosts.iter_mut().enumerate() {
@@ -256,7 +258,7 @@
                 if *from == to || self.rng.random_bool(0.1) {
                     continue;
                 }
-                host.rollouts.hear(now, rollouts);
+                host.rollouts.receive(now, rollouts);
                 let teller = Teller::Host(HostId::new(format!("host-{from}")));
                 host.evidences.hear(now, teller, evidences.clone());
             }
@@ -279,19 +281,21 @@
             let evidence = host.evidences.all(now, at(0));
             let judgement = evidence.judge(NEW_UPSTREAMS);
             let bound = ExposureBound::default();
-            let due = rollout.due(now, bound, &evidence, judgement.as_ref(), NEW_UPSTREAMS);
+            let due = rollout.due_step(now, bound, &evidence, judgement.as_ref(), NEW_UPSTREAMS);
             let is_conductor = conductor == Some(index);
-            if let Due::Revert(reason) = &due {
+            if let DueStep::Revert(reason) = &due {
                 self.reasons.push(reason.clone());
             }
             let stage = match due {
-                Due::Revert(_) | Due::GiveUp(_) if is_conductor => Stage::Reverted,
-                Due::Revert(_) => Stage::Reverting,
-                Due::Shift if is_conductor => Stage::Shift,
-                Due::Complete if is_conductor => Stage::Complete,
-                Due::Nothing | Due::Shift | Due::Complete | Due::GiveUp(_) => continue,
+                DueStep::Revert(_) | DueStep::GiveUp(_) if is_conductor => Stage::Reverted,
+                DueStep::Revert(_) => Stage::Reverting,
+                DueStep::Shift if is_conductor => Stage::Shift,
+                DueStep::Complete if is_conductor => Stage::Complete,
+                DueStep::Nothing | DueStep::Shift | DueStep::Complete | DueStep::GiveUp(_) => {
+                    continue;
+                }
             };
-            let change = host.rollouts.rise(now, &service(), at(0), stage);
+            let change = host.rollouts.advance(now, &service(), at(0), stage);
             has_news |= change.is_some();
             if is_conductor {
                 self.told.extend(change.map(|change| change.stage));
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -20,7 +20,7 @@
 use crate::gateway::protocol::RolloutState;
 use crate::gateway::protocol::RolloutStatus;
 use crate::gateway::protocol::Topic;
-use crate::gateway::rollouts::Due;
+use crate::gateway::rollouts::DueStep;
 use crate::gateway::rollouts::Stage;
 use crate::gateway::shared::OpenRollout;
 use crate::gateway::shared::Shared;
@@ -79,10 +79,10 @@
     async fn look_at(&mut self, rollout: &OpenRollout) -> Result<(), Interrupted> {
         let step = match &rollout.due {
             _ if !self.begun.contains_key(&rollout.ordered_at) => Step::Begin,
-            Due::Nothing => return Ok(()),
-            Due::Shift => Step::Shift,
-            Due::Complete => Step::Complete,
-            Due::Revert(_) | Due::GiveUp(_) => Step::Revert,
+            DueStep::Nothing => return Ok(()),
+            DueStep::Shift => Step::Shift,
+            DueStep::Complete => Step::Complete,
+            DueStep::Revert(_) | DueStep::GiveUp(_) => Step::Revert,
         };
         let key = (rollout.ordered_at, step);
         let due_since = *self.due_since.entry(key).or_insert_with(Instant::now);
@@ -98,7 +98,7 @@
             }
             Step::Complete => self.tell(rollout, RolloutState::Complete).await,
             Step::Revert => {
-                if let Due::GiveUp(reason) = &rollout.due {
+                if let DueStep::GiveUp(reason) = &rollout.due {
                     self.shared.rollout_rises(rollout, Stage::Reverting, reason);
                 }
                 self.tell(rollout, RolloutState::Reverted).await
--- a/src/gateway/rolloutstatus/tests.rs
+++ b/src/gateway/rolloutstatus/tests.rs
@@ -7,7 +7,7 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::RolloutState;
 use crate::gateway::protocol::RolloutStatus;
-use crate::gateway::rollouts::Due;
+use crate::gateway::rollouts::DueStep;
 use crate::id::ServiceId;
 use crate::id::VersionId;
 
@@ -23,7 +23,7 @@
         to: VersionId::new("v2"),
         is_dated: true,
         age: Duration::from_millis(700),
-        due: Due::Nothing,
+        due: DueStep::Nothing,
     }
 }
 
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rolling.rs
@@ -10,12 +10,12 @@
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Record;
-use crate::gateway::rollouts::Due;
+use crate::gateway::rollouts::AnnouncedRollout;
+use crate::gateway::rollouts::DueStep;
 use crate::gateway::rollouts::RolloutChange;
 use crate::gateway::rollouts::Stage;
-use crate::gateway::rollouts::ToldRollout;
 use crate::gateway::rollouts::Track;
-use crate::gateway::rollouts::TrialShare;
+use crate::gateway::rollouts::TrialBudget;
 use crate::gateway::rollouts::evidence::Answer;
 use crate::gateway::rollouts::evidence::EvidenceBoard;
 use crate::gateway::rollouts::evidence::Measure;
@@ -42,7 +42,7 @@
     pub(crate) to: VersionId,
     pub(crate) is_dated: bool,
     pub(crate) age: Duration,
-    pub(crate) due: Due,
+    pub(crate) due: DueStep,
 }
 
 impl Shared {
@@ -52,9 +52,9 @@
     }
 
     /// What this host knows of roll-outs, for others.
-    pub(crate) fn told_rollouts(&self) -> Vec<ToldRollout> {
+    pub(crate) fn told_rollouts(&self) -> Vec<AnnouncedRollout> {
         let now = self.now();
-        self.directory(|directory| directory.rollouts().tell(now))
+        self.directory(|directory| directory.rollouts().announce(now))
     }
 
     /// Takes records of the operators' topic.
@@ -73,7 +73,7 @@
             let at = Position::new(era, record.offset);
             let read = |directory: &mut Directory| {
                 let rollouts = directory.rollouts_mut();
-                rollouts.read(now, &rollout, at, is_fresh)
+                rollouts.apply_record(now, &rollout, at, is_fresh)
             };
             changes.extend(self.directory(read));
         }
@@ -81,12 +81,12 @@
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn hear_rollouts(&self, told: &[ToldRollout], source: &str) {
+    pub(crate) fn hear_rollouts(&self, told: &[AnnouncedRollout], source: &str) {
         if told.is_empty() {
             return;
         }
         let now = self.now();
-        let changes = self.directory(|directory| directory.rollouts_mut().hear(now, told));
+        let changes = self.directory(|directory| directory.rollouts_mut().receive(now, told));
         self.note_rollouts(&changes, source, None);
     }
 
@@ -95,7 +95,7 @@
         let now = self.now();
         let change = self.directory(|directory| {
             let rollouts = directory.rollouts_mut();
-            rollouts.rise(now, &rollout.service, rollout.ordered_at, stage)
+            rollouts.advance(now, &rollout.service, rollout.ordered_at, stage)
         });
         self.note_rollouts(change.as_slice(), "own", Some(reason));
     }
@@ -128,16 +128,20 @@
             rollout.stage().is_open().then(|| rollout.ordered_at())
         };
         let Some(order) = self.directory(open) else {
-            return Track::Proved;
+            return Track::Stable;
         };
         let now = self.now();
         self.evidences(|evidences| evidences.requested(now, order));
-        let share = TrialShare {
+        let share = TrialBudget {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
         };
         let draw = rand::random();
-        self.directory(|directory| directory.rollouts_mut().draw(now, service, share, draw))
+        self.directory(|directory| {
+            directory
+                .rollouts_mut()
+                .assign_track(now, service, share, draw)
+        })
     }
 
     /// What came of a request at an upstream, for the judgement on a version that is tried.
@@ -189,7 +193,7 @@
                     to: rollout.to().clone(),
                     is_dated: rollout.is_dated(),
                     age: rollout.age(now),
-                    due: rollout.due(now, bound, &evidence, judgement.as_ref(), new),
+                    due: rollout.due_step(now, bound, &evidence, judgement.as_ref(), new),
                 }
             });
             open.collect()
@@ -203,7 +207,7 @@
         }
         let now = self.now();
         for rollout in self.open_rollouts() {
-            if let Due::Revert(reason) = &rollout.due {
+            if let DueStep::Revert(reason) = &rollout.due {
                 self.rollout_rises(&rollout, Stage::Reverting, reason);
             }
         }
--- a/src/gateway/tries.rs
+++ b/src/gateway/tries.rs
@@ -104,7 +104,7 @@
             .with("retried", verdict == Verdict::GoesOn)
             .write();
         // A further try is for the request's sake alone.
-        admitted.track.set(Track::Proved);
+        admitted.track.set(Track::Stable);
         verdict == Verdict::GoesOn
     }
 
