--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -22,10 +22,10 @@
 use cedargauge::gateway::directory::UpstreamState;
 use cedargauge::gateway::loads::Load;
 use cedargauge::gateway::pace::Pace;
-use cedargauge::gateway::place::Candidate;
-use cedargauge::gateway::place::FarCounts;
-use cedargauge::gateway::place::Need;
-use cedargauge::gateway::place::View;
+use cedargauge::gateway::placement::Candidate;
+use cedargauge::gateway::placement::Need;
+use cedargauge::gateway::placement::PlacementContext;
+use cedargauge::gateway::placement::RemoteCounts;
 use cedargauge::id::AttemptId;
 use cedargauge::id::DataCentre;
 use cedargauge::id::RequestId;
@@ -180,9 +180,9 @@
         waited: Some(Duration::ZERO),
     };
     let here = DataCentre::new("north");
-    let view = View {
-        here: &here,
-        far_counts: FarCounts::Fresh,
+    let view = PlacementContext {
+        data_centre: &here,
+        remote_counts: RemoteCounts::Fresh,
     };
     for upstreams in UPSTREAMS {
         let candidates: Vec<Candidate> = (0..upstreams).map(full_engine).collect();
@@ -217,7 +217,7 @@
             unread_tokens: 0,
         },
         reported: None,
-        doubtful: false,
+        unhealthy: false,
     }
 }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -37,7 +37,7 @@
 pub mod pace;
 pub mod peerfetch;
 pub mod peers;
-pub mod place;
+pub mod placement;
 pub mod pool;
 pub mod position;
 pub mod protocol;
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 
 use crate::gateway::pace::Pace;
-use crate::gateway::place;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::Need;
-use crate::gateway::place::View;
+use crate::gateway::placement;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
+use crate::gateway::placement::PlacementContext;
 
 /// What runs holds on average this share of what it is planned to need at its end.
 const GROWN_SHARE: f64 = 0.87;
@@ -138,17 +138,17 @@
     demand: &Demand,
     line: &Line<'_>,
     candidates: &[Candidate],
-    view: View<'_>,
+    view: PlacementContext<'_>,
     draw: impl FnMut() -> f64,
 ) -> Verdict {
     if line.ahead_tokens == 0 {
         let with_room = with_room(demand, candidates, line.pace);
-        if let Some(candidate) = place::choose(demand.need, &with_room, view, draw) {
+        if let Some(candidate) = placement::choose(demand.need, &with_room, view, draw) {
             return Verdict::Start(candidate);
         }
     }
     let prospect = Prospect {
-        expected: line.expected_wait(place::tokens(demand.need)),
+        expected: line.expected_wait(demand.need.tokens()),
         patience: demand.patience(line.pace),
     };
     let waits = match demand.waited {
@@ -163,10 +163,10 @@
 
 /// The candidates at which it may start; doubtful ones only where there is no other.
 fn with_room(demand: &Demand, candidates: &[Candidate], pace: &Pace) -> Vec<Candidate> {
-    let any_sound = candidates.iter().any(|candidate| !candidate.doubtful);
+    let any_sound = candidates.iter().any(|candidate| !candidate.unhealthy);
     candidates
         .iter()
-        .filter(|candidate| !(any_sound && candidate.doubtful))
+        .filter(|candidate| !(any_sound && candidate.unhealthy))
         .filter(|candidate| demand.has_room(candidate, pace))
         .cloned()
         .collect()
--- a/src/gateway/admit/tests.rs
+++ b/src/gateway/admit/tests.rs
@@ -16,10 +16,10 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Load;
 use crate::gateway::pace::Pace;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::FarCounts;
-use crate::gateway::place::Need;
-use crate::gateway::place::View;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
+use crate::gateway::placement::PlacementContext;
+use crate::gateway::placement::RemoteCounts;
 use crate::id::DataCentre;
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
@@ -44,7 +44,7 @@
         }),
         load,
         reported: None,
-        doubtful: false,
+        unhealthy: false,
     }
 }
 
@@ -66,9 +66,9 @@
 }
 
 pub(super) fn verdict(demand: &Demand, line: &Line<'_>, candidates: &[Candidate]) -> Verdict {
-    let view = View {
-        here: &DataCentre::new("north"),
-        far_counts: FarCounts::Fresh,
+    let view = PlacementContext {
+        data_centre: &DataCentre::new("north"),
+        remote_counts: RemoteCounts::Fresh,
     };
     decide(demand, line, candidates, view, || 0.0)
 }
@@ -196,7 +196,7 @@
 fn a_doubtful_engine_is_no_way_out_of_a_crowd() {
     let pace = Pace::default();
     let mut doubtful = running(1, 1_000, 0);
-    doubtful.doubtful = true;
+    doubtful.unhealthy = true;
     let candidates = [running(8, 34_000, 0), doubtful];
     let verdict = verdict(&report(None), &line(&pace, 0, 35_000), &candidates);
     assert!(!matches!(verdict, Verdict::Start(_)));
@@ -213,7 +213,7 @@
         let Verdict::Start(chosen) = verdict(&demand, &line(&pace, 0, 1), &candidates) else {
             return TestResult::discard();
         };
-        let tokens = crate::gateway::place::tokens(demand.need);
+        let tokens = demand.need.tokens();
         TestResult::from_bool(chosen.load.requests == 0 || chosen.load.tokens + tokens <= MEMORY_TOKENS)
     }
 
--- a/src/gateway/admit/tests/crowd.rs
+++ b/src/gateway/admit/tests/crowd.rs
@@ -13,11 +13,11 @@
 use crate::gateway::admit::Verdict;
 use crate::gateway::loads::Load;
 use crate::gateway::pace::Pace;
-use crate::gateway::place;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::FarCounts;
-use crate::gateway::place::Need;
-use crate::gateway::place::View;
+use crate::gateway::placement;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
+use crate::gateway::placement::PlacementContext;
+use crate::gateway::placement::RemoteCounts;
 use crate::id::AttemptId;
 use crate::id::DataCentre;
 use crate::model::EngineModel;
@@ -248,7 +248,7 @@
                 Verdict::Start(chosen) => self.start(now, generation, &chosen),
                 Verdict::Wait => {
                     self.outcome.waited += u32::from(!has_waited);
-                    ahead_tokens += u64::from(place::tokens(generation.need()));
+                    ahead_tokens += u64::from(generation.need().tokens());
                     self.line.push((generation, true));
                 }
                 Verdict::Refuse(_) => self.outcome.refused += 1,
@@ -278,11 +278,11 @@
         match self.policy {
             Policy::Decide => verdict(&demand, &line, candidates),
             Policy::SendAtOnce => {
-                let view = View {
-                    here: &DataCentre::new("north"),
-                    far_counts: FarCounts::Fresh,
+                let view = PlacementContext {
+                    data_centre: &DataCentre::new("north"),
+                    remote_counts: RemoteCounts::Fresh,
                 };
-                let chosen = place::choose(demand.need, candidates, view, || 0.0);
+                let chosen = placement::choose(demand.need, candidates, view, || 0.0);
                 Verdict::Start(chosen.expect("an engine is left"))
             }
         }
@@ -313,7 +313,7 @@
         }
         let load = &mut self.loads[engine];
         load.requests += 1;
-        load.tokens += place::tokens(generation.need());
+        load.tokens += generation.need().tokens();
         load.unread_tokens += generation.prompt_tokens;
         let run = Run {
             generation,
@@ -382,7 +382,7 @@
     fn end(&mut self, now: Time, attempt: AttemptId) -> Option<Run> {
         let run = self.runs.remove(&attempt)?;
         let load = &mut self.loads[run.engine];
-        let tokens = place::tokens(run.generation.need());
+        let tokens = run.generation.need().tokens();
         load.requests -= 1;
         load.tokens -= tokens;
         if run.first.is_none() {
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -21,7 +21,7 @@
 use crate::gateway::exchange::Whole;
 use crate::gateway::forward;
 use crate::gateway::forward::AttemptHeaders;
-use crate::gateway::place::Need;
+use crate::gateway::placement::Need;
 use crate::gateway::refuse;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
--- a/src/gateway/line.rs
+++ b/src/gateway/line.rs
@@ -19,9 +19,8 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
 use crate::gateway::pace::Pace;
-use crate::gateway::place;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::Need;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
 use crate::gateway::rollouts::Track;
 use crate::gateway::serve;
 use crate::gateway::serve::Admitted;
@@ -200,7 +199,7 @@
     need: Need,
     avoid: &[InstanceId],
 ) -> Result<Option<Candidate>, Refusal> {
-    let tokens = place::tokens(need);
+    let tokens = need.tokens();
     let ticket = Ticket::join(shared, admitted, tokens);
     let mut waited = None;
     let mut has_asked = false;
@@ -233,7 +232,7 @@
         };
         let believed = Believed::new(shared, &ticket, &candidates);
         let verdict = believed.decide(shared, &demand, &candidates);
-        let is_sound = matches!(&verdict, Verdict::Start(candidate) if !candidate.doubtful);
+        let is_sound = matches!(&verdict, Verdict::Start(candidate) if !candidate.unhealthy);
         if !is_sound && std::mem::replace(&mut breadth, Breadth::All) == Breadth::Few {
             continue;
         }
@@ -276,7 +275,7 @@
 impl Reserved {
     fn at_best(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Self> {
         let best = serve::choose(shared, need, candidates)?;
-        let tokens = place::tokens(need);
+        let tokens = need.tokens();
         let upstream = best.upstream.id.clone();
         let occupied = shared.loads().occupy(&upstream, tokens, 0);
         shared.tell_news();
--- a/src/gateway/line/tests.rs
+++ b/src/gateway/line/tests.rs
@@ -8,7 +8,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Load;
 use crate::gateway::loads::LoadBoard;
-use crate::gateway::place::Candidate;
+use crate::gateway::placement::Candidate;
 use crate::id::CustomerId;
 use crate::id::DataCentre;
 use crate::id::ServiceId;
@@ -34,7 +34,7 @@
     Candidate {
         load: board.with(|loads| loads.at(&upstream.id)),
         reported: None,
-        doubtful: false,
+        unhealthy: false,
         upstream: Arc::new(upstream),
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/placement.rs
@@ -44,34 +44,34 @@
 
 /// Upstreams of its data centre that a host looks at before all others. With thousands a look at each costs more than
 /// it finds: that the least loaded of so many is full is rare before nearly all are.
-pub(crate) const FEW: usize = 64;
+pub(crate) const SUBSET_UPSTREAMS: usize = 64;
 
 /// How old this host's counts of what runs in other data centres are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FarCounts {
+pub enum RemoteCounts {
     /// A datagram, as those of the own data centre.
     Fresh,
     /// Seconds: hosts of several data centres that choose by them all choose the same engine.
-    Old,
+    Stale,
 }
 
-impl FarCounts {
+impl RemoteCounts {
     /// The age in logs.
     pub const fn name(self) -> &'static str {
         match self {
-            FarCounts::Fresh => "fresh",
-            FarCounts::Old => "old",
+            RemoteCounts::Fresh => "fresh",
+            RemoteCounts::Stale => "old",
         }
     }
 }
 
 /// From where a choice is made.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct PlacementContext<'a> {
     /// The own data centre.
-    pub here: &'a DataCentre,
+    pub data_centre: &'a DataCentre,
     /// What is known of the others.
-    pub far_counts: FarCounts,
+    pub remote_counts: RemoteCounts,
 }
 
 /// What a request needs.
@@ -97,6 +97,16 @@
     },
 }
 
+impl Need {
+    /// Tokens of memory that the request is predicted to need; 0 for plain services.
+    pub fn tokens(self) -> u32 {
+        match self {
+            Need::Slot => 0,
+            Need::Memory { tokens, .. } | Need::Copy { tokens, .. } => tokens,
+        }
+    }
+}
+
 /// An upstream that may be chosen.
 #[derive(Debug, Clone)]
 pub struct Candidate {
@@ -107,7 +117,7 @@
     /// What it said of itself a moment ago.
     pub reported: Option<ReportedLoad>,
     /// Whether its recent failures speak against it.
-    pub doubtful: bool,
+    pub unhealthy: bool,
 }
 
 /// The share of a candidate's room that would be taken; lower is better.
@@ -172,48 +182,40 @@
 
 /// The part of a long list that one host looks at first: the same from one request to the next, and another one for each
 /// host.
-pub(crate) fn part_of(mut upstreams: Vec<Arc<Upstream>>, host: &HostId) -> Vec<Arc<Upstream>> {
+pub(crate) fn subset(mut upstreams: Vec<Arc<Upstream>>, host: &HostId) -> Vec<Arc<Upstream>> {
     let length = upstreams.len();
-    if length > FEW {
+    if length > SUBSET_UPSTREAMS {
         let from = xxh3_64(host.as_str().as_bytes()) % length as u64;
         upstreams.rotate_left(usize::try_from(from).unwrap_or(0));
-        upstreams.truncate(FEW);
+        upstreams.truncate(SUBSET_UPSTREAMS);
     }
     upstreams
 }
 
-/// Tokens of memory that a request is predicted to need.
-pub fn tokens(need: Need) -> u32 {
-    match need {
-        Need::Slot => 0,
-        Need::Memory { tokens, .. } | Need::Copy { tokens, .. } => tokens,
-    }
-}
-
 /// The best candidate for a request; doubtful ones only where there is no other, and of other data
 /// centres only where the counts of these are fresh or no near one has room. `draw` gives random
 /// numbers from 0 to 1.
 pub fn choose(
     need: Need,
     candidates: &[Candidate],
-    view: View<'_>,
+    view: PlacementContext<'_>,
     mut draw: impl FnMut() -> f64,
 ) -> Option<Candidate> {
-    let sound = candidates.iter().filter(|candidate| !candidate.doubtful);
+    let sound = candidates.iter().filter(|candidate| !candidate.unhealthy);
     let pool: Vec<&Candidate> = match sound.clone().next() {
         Some(_) => sound.collect(),
         None => candidates.iter().collect(),
     };
-    let near: Vec<&Candidate> = match view.far_counts {
-        FarCounts::Fresh => Vec::new(),
-        FarCounts::Old => pool
+    let near: Vec<&Candidate> = match view.remote_counts {
+        RemoteCounts::Fresh => Vec::new(),
+        RemoteCounts::Stale => pool
             .iter()
             .copied()
-            .filter(|candidate| candidate.upstream.data_centre == *view.here)
+            .filter(|candidate| candidate.upstream.data_centre == *view.data_centre)
             .filter(|candidate| has_room(need, candidate))
             .collect(),
     };
-    let spills = view.far_counts == FarCounts::Old && near.is_empty();
+    let spills = view.remote_counts == RemoteCounts::Stale && near.is_empty();
     let pool = if near.is_empty() { pool } else { near };
     let jitter = match need {
         Need::Memory { .. } if spills => SPILL_JITTER,
@@ -223,7 +225,7 @@
     pool.into_iter()
         .map(|candidate| {
             (
-                score(need, candidate, view.here) + draw() * jitter,
+                score(need, candidate, view.data_centre) + draw() * jitter,
                 candidate,
             )
         })
--- a/src/gateway/place/tests.rs
+++ b/src/gateway/placement/tests.rs
@@ -2,9 +2,9 @@
 use std::sync::Arc;
 
 use super::Candidate;
-use super::FarCounts;
 use super::Need;
-use super::View;
+use super::PlacementContext;
+use super::RemoteCounts;
 use super::choose;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
@@ -31,7 +31,7 @@
         }),
         load,
         reported: None,
-        doubtful: false,
+        unhealthy: false,
     }
 }
 
@@ -55,13 +55,13 @@
 };
 
 fn chosen(need: Need, candidates: &[Candidate]) -> Option<String> {
-    chosen_by(FarCounts::Fresh, need, candidates)
+    chosen_by(RemoteCounts::Fresh, need, candidates)
 }
 
-fn chosen_by(far_counts: FarCounts, need: Need, candidates: &[Candidate]) -> Option<String> {
-    let view = View {
-        here: &DataCentre::new("north"),
-        far_counts,
+fn chosen_by(remote_counts: RemoteCounts, need: Need, candidates: &[Candidate]) -> Option<String> {
+    let view = PlacementContext {
+        data_centre: &DataCentre::new("north"),
+        remote_counts,
     };
     choose(need, candidates, view, || 0.0).map(|candidate| candidate.upstream.id.to_string())
 }
@@ -112,7 +112,7 @@
 #[test]
 fn a_doubtful_upstream_is_the_last_resort() {
     let mut doubtful = candidate("doubtful", "north", load(0, 0, 0));
-    doubtful.doubtful = true;
+    doubtful.unhealthy = true;
     let loaded = candidate("loaded", "south", load(9, 0, 0));
 
     assert_eq!(
@@ -131,11 +131,11 @@
     ];
 
     assert_eq!(
-        chosen_by(FarCounts::Fresh, GENERATION, &candidates),
+        chosen_by(RemoteCounts::Fresh, GENERATION, &candidates),
         Some("new".into())
     );
     assert_eq!(
-        chosen_by(FarCounts::Old, GENERATION, &candidates),
+        chosen_by(RemoteCounts::Stale, GENERATION, &candidates),
         Some("near".into())
     );
 }
@@ -147,9 +147,9 @@
         candidate("emptier", "south", load(1, 4_000, 0)),
         candidate("empty", "south", load(0, 0, 0)),
     ];
-    let view = View {
-        here: &DataCentre::new("north"),
-        far_counts: FarCounts::Old,
+    let view = PlacementContext {
+        data_centre: &DataCentre::new("north"),
+        remote_counts: RemoteCounts::Stale,
     };
     let mut draws = [0.5, 0.1, 0.9].into_iter();
 
@@ -165,7 +165,7 @@
         let candidates = [candidate("near", "north", full_or_busy), new.clone()];
 
         assert_eq!(
-            chosen_by(FarCounts::Old, GENERATION, &candidates),
+            chosen_by(RemoteCounts::Stale, GENERATION, &candidates),
             Some("new".into())
         );
     }
@@ -190,12 +190,12 @@
         .collect();
     let parts = (0..200).map(|host| {
         let host = HostId::new(format!("host-{host}"));
-        super::part_of(listed.clone(), &host)
+        super::subset(listed.clone(), &host)
     });
 
     let mut looked_at = BTreeMap::new();
     for part in parts {
-        assert_eq!(part.len(), super::FEW);
+        assert_eq!(part.len(), super::SUBSET_UPSTREAMS);
         for upstream in part {
             *looked_at.entry(upstream.id.clone()).or_insert(0) += 1;
         }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -37,9 +37,9 @@
 use crate::gateway::identity::Caller;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining;
-use crate::gateway::place;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::Need;
+use crate::gateway::placement;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
 use crate::gateway::pool::Pool;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::protocol::HeaderNames;
@@ -85,7 +85,9 @@
     /// At which upstreams of a service a request looks at first.
     pub fn at_first(shared: &Shared, service: &ServiceId) -> Self {
         let here = &shared.settings().data_centre;
-        match shared.directory(|directory| directory.count_in(service, here)) > place::FEW {
+        match shared.directory(|directory| directory.count_in(service, here))
+            > placement::SUBSET_UPSTREAMS
+        {
             true => Breadth::Few,
             false => Breadth::All,
         }
@@ -203,7 +205,7 @@
         match Breadth::at_first(shared, &self.service) {
             Breadth::All => chosen(Breadth::All),
             Breadth::Few => chosen(Breadth::Few)
-                .filter(|candidate| !candidate.doubtful)
+                .filter(|candidate| !candidate.unhealthy)
                 .or_else(|| chosen(Breadth::All)),
         }
     }
@@ -211,7 +213,7 @@
 
 /// Chooses one of `candidates`, as seen from this host.
 pub fn choose(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Candidate> {
-    place::choose(need, candidates, shared.view(), rand::random::<f64>)
+    placement::choose(need, candidates, shared.view(), rand::random::<f64>)
 }
 
 /// The upstreams that a request may go to. Where two of another data centre can't be connected
@@ -230,7 +232,7 @@
         let within = (breadth == Breadth::Few).then_some(here);
         let ready = directory.ready_for(service, track, within);
         let ready = match within {
-            Some(_) => place::part_of(ready, &shared.settings().host),
+            Some(_) => placement::subset(ready, &shared.settings().host),
             None => ready,
         };
         (ready, directory.any_cold(now))
@@ -247,7 +249,7 @@
         .map(|upstream| Candidate {
             load: loads.with(|loads| loads.at(&upstream.id)),
             reported: shared.reported_load(now, &upstream.id),
-            doubtful: shared.is_doubtful(now, &upstream.id) || cut.contains(&upstream.data_centre),
+            unhealthy: shared.is_doubtful(now, &upstream.id) || cut.contains(&upstream.data_centre),
             upstream,
         })
         .collect()
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -35,8 +35,8 @@
 use crate::gateway::peerfetch::ListCache;
 use crate::gateway::peers::Fetch;
 use crate::gateway::peers::Peers;
-use crate::gateway::place::FarCounts;
-use crate::gateway::place::View;
+use crate::gateway::placement::PlacementContext;
+use crate::gateway::placement::RemoteCounts;
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Protocol;
 use crate::gateway::reach::Reach;
@@ -300,18 +300,18 @@
     }
 
     /// How old the counts of what runs in other data centres are: few hosts tell all of it to all.
-    pub fn far_counts(&self) -> FarCounts {
+    pub fn far_counts(&self) -> RemoteCounts {
         match self.is_small_fleet() {
-            true => FarCounts::Fresh,
-            false => FarCounts::Old,
+            true => RemoteCounts::Fresh,
+            false => RemoteCounts::Stale,
         }
     }
 
     /// From where upstreams are chosen.
-    pub fn view(&self) -> View<'_> {
-        View {
-            here: &self.settings().data_centre,
-            far_counts: self.far_counts(),
+    pub fn view(&self) -> PlacementContext<'_> {
+        PlacementContext {
+            data_centre: &self.settings().data_centre,
+            remote_counts: self.far_counts(),
         }
     }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -28,9 +28,8 @@
 use crate::gateway::line;
 use crate::gateway::line::Share;
 use crate::gateway::loads::Occupied;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::Need;
-use crate::gateway::place::tokens;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
@@ -140,7 +139,9 @@
             }
             Err(refusal) => return admitted.refuse(shared, &refusal),
         };
-        let share = shared.lines().run(admitted.customer.as_ref(), tokens(need));
+        let share = shared
+            .lines()
+            .run(admitted.customer.as_ref(), need.tokens());
         let upstream = candidate.upstream;
         tries.begin(&upstream.id);
         let _trial = shared.trial(&upstream.id);
@@ -149,10 +150,11 @@
             .with("load_requests", candidate.load.requests)
             .with("load_tokens", candidate.load.tokens)
             .with("load_unread", candidate.load.unread_tokens)
-            .with("tokens", tokens(need))
+            .with("tokens", need.tokens())
             .with("hosts", shared.hosts())
             .write();
-        let (reached, reason) = match open(shared, &admitted, &upstream, tokens(need), None).await {
+        let (reached, reason) = match open(shared, &admitted, &upstream, need.tokens(), None).await
+        {
             Opened::Running(running) => return respond(shared.clone(), admitted, *running, share),
             Opened::Answered(answer) => return pass_on(shared, &admitted, &upstream, answer),
             Opened::TimedOut => {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -20,8 +20,8 @@
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
-use crate::gateway::place::Candidate;
-use crate::gateway::place::Need;
+use crate::gateway::placement::Candidate;
+use crate::gateway::placement::Need;
 use crate::gateway::protocol::CopyDone;
 use crate::gateway::rescue;
 use crate::gateway::rescue::CopyFailure;
@@ -198,7 +198,7 @@
             let own = self.own_destinations(among);
             let own = candidates
                 .iter()
-                .filter(|candidate| own.contains(&candidate.upstream.id) && !candidate.doubtful)
+                .filter(|candidate| own.contains(&candidate.upstream.id) && !candidate.unhealthy)
                 .filter(|candidate| f64::from(candidate.load.tokens + tokens) < room);
             own.cloned().collect()
         };
