--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::pace::Pace;
+use crate::gateway::enginestats::Pace;
 use crate::gateway::place;
 use crate::gateway::place::Candidate;
 use crate::gateway::place::Need;
--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -15,13 +15,13 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
 use crate::gateway::loads::Load;
+use crate::gateway::movequeue::ToMove;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::rollouts::ToldRollout;
 use crate::gateway::rollouts::evidence::ToldEvidence;
 use crate::gateway::suspects::ToldSuspect;
-use crate::gateway::turns::ToMove;
 use crate::id::DataCentre;
 use crate::id::HostId;
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -25,13 +25,13 @@
 use crate::gateway::exchange::Whole;
 use crate::gateway::forward::AttemptHeaders;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::line;
-use crate::gateway::line::Share;
 use crate::gateway::loads::Occupied;
 use crate::gateway::place::Candidate;
 use crate::gateway::place::Need;
 use crate::gateway::place::tokens;
 use crate::gateway::protocol::GenerationSize;
+use crate::gateway::queue;
+use crate::gateway::queue::Share;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::serve::Admitted;
@@ -188,7 +188,7 @@
     avoid: &[InstanceId],
 ) -> Result<Option<Candidate>, Refusal> {
     match need {
-        Need::Memory { .. } => line::wait_for_room(shared, admitted, need, avoid).await,
+        Need::Memory { .. } => queue::wait_for_room(shared, admitted, need, avoid).await,
         Need::Slot | Need::Copy { .. } => match shared.held_back(admitted) {
             Some(refusal) => Err(refusal),
             None => Ok(admitted.place(shared, need, avoid)),
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -20,6 +20,7 @@
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
+use crate::gateway::movequeue::Ticket;
 use crate::gateway::place::Candidate;
 use crate::gateway::place::Need;
 use crate::gateway::protocol::CopyDone;
@@ -27,7 +28,6 @@
 use crate::gateway::rescue::CopyFailure;
 use crate::gateway::serve;
 use crate::gateway::serve::Breadth;
-use crate::gateway::turns::Ticket;
 use crate::telemetry;
 use crate::telemetry::Metric;
 
