--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -17,10 +17,10 @@
 use cedargauge::clock::Time;
 use cedargauge::gateway::admit;
 use cedargauge::gateway::admit::Demand;
-use cedargauge::gateway::admit::Line;
+use cedargauge::gateway::admit::QueueState;
 use cedargauge::gateway::directory::Upstream;
 use cedargauge::gateway::directory::UpstreamState;
-use cedargauge::gateway::enginestats::Pace;
+use cedargauge::gateway::enginestats::EngineStats;
 use cedargauge::gateway::loads::Load;
 use cedargauge::gateway::place::Candidate;
 use cedargauge::gateway::place::FarCounts;
@@ -169,7 +169,7 @@
 /// A generation for which no engine has room: every one is looked at.
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let demand = Demand {
         need: Need::Memory {
             tokens: 4_000,
@@ -186,11 +186,11 @@
     };
     for upstreams in UPSTREAMS {
         let candidates: Vec<Candidate> = (0..upstreams).map(full_engine).collect();
-        let line = Line {
+        let line = QueueState {
             ahead_tokens: 0,
             taken_tokens: 30_000 * upstreams as u64,
             hosts: 73,
-            pace: &pace,
+            stats: &stats,
         };
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
             bencher.iter(|| admit::decide(&demand, &line, &candidates, view, || 0.5));
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::enginestats::Pace;
+use crate::gateway::enginestats::EngineStats;
 use crate::gateway::place;
 use crate::gateway::place::Candidate;
 use crate::gateway::place::Need;
@@ -52,7 +52,7 @@
 
 /// The line in which generations wait, as their host sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Line<'a> {
+pub struct QueueState<'a> {
     /// Tokens that those ahead need.
     pub ahead_tokens: u64,
     /// Tokens taken at all engines by all hosts.
@@ -60,7 +60,7 @@
     /// Hosts that share what becomes free.
     pub hosts: usize,
     /// What this host observed of engines.
-    pub pace: &'a Pace,
+    pub stats: &'a EngineStats,
 }
 
 /// What becomes of a generation.
@@ -83,30 +83,30 @@
     pub patience: Duration,
 }
 
-impl Line<'_> {
+impl QueueState<'_> {
     /// When `tokens` are expected to be free for the last in the line. Of many hosts few have one that waits at a
     /// time.
     fn expected_wait(&self, tokens: u32) -> Duration {
         let wanted = (self.ahead_tokens + u64::from(tokens)) as f64;
         let taken = self.taken_tokens.max(1) as f64;
         let turns = wanted * self.hosts.clamp(1, HOSTS_WAITING_MAX) as f64 / taken;
-        self.pace.turnover().mul_f64(turns)
+        self.stats.turnover().mul_f64(turns)
     }
 }
 
 impl Demand {
-    fn patience(&self, pace: &Pace) -> Duration {
+    fn patience(&self, stats: &EngineStats) -> Duration {
         let first_event = match self.need {
-            Need::Memory { prompt_tokens, .. } => pace.first_event_within(prompt_tokens),
+            Need::Memory { prompt_tokens, .. } => stats.first_event_bound(prompt_tokens),
             Need::Slot | Need::Copy { .. } => Duration::ZERO,
         };
         let left = self.objective.saturating_sub(first_event);
-        let less = (PATIENCE_OBJECTIVES_MAX - PATIENCE_OBJECTIVES_CAUTIOUS) * pace.caution();
+        let less = (PATIENCE_OBJECTIVES_MAX - PATIENCE_OBJECTIVES_CAUTIOUS) * stats.caution();
         left.min(self.objective.mul_f64(PATIENCE_OBJECTIVES_MAX - less))
     }
 
     /// Whether it may start at `candidate`.
-    fn has_room(&self, candidate: &Candidate, pace: &Pace) -> bool {
+    fn has_room(&self, candidate: &Candidate, stats: &EngineStats) -> bool {
         let Need::Memory {
             tokens,
             prompt_tokens,
@@ -122,7 +122,7 @@
         let unread = load.unread_tokens + prompt_tokens;
         load.requests < candidate.upstream.slots
             && predicted_tokens(load.tokens, tokens, prompt_tokens) <= f64::from(memory_tokens)
-            && (load.unread_tokens == 0 || pace.first_event_within(unread) <= self.objective)
+            && (load.unread_tokens == 0 || stats.first_event_bound(unread) <= self.objective)
     }
 }
 
@@ -136,20 +136,20 @@
 /// What becomes of a generation; `draw` gives random numbers from 0 to 1.
 pub fn decide(
     demand: &Demand,
-    line: &Line<'_>,
+    line: &QueueState<'_>,
     candidates: &[Candidate],
     view: View<'_>,
     draw: impl FnMut() -> f64,
 ) -> Verdict {
     if line.ahead_tokens == 0 {
-        let with_room = with_room(demand, candidates, line.pace);
+        let with_room = with_room(demand, candidates, line.stats);
         if let Some(candidate) = place::choose(demand.need, &with_room, view, draw) {
             return Verdict::Start(candidate);
         }
     }
     let prospect = Prospect {
         expected: line.expected_wait(place::tokens(demand.need)),
-        patience: demand.patience(line.pace),
+        patience: demand.patience(line.stats),
     };
     let waits = match demand.waited {
         None => prospect.expected < prospect.patience,
@@ -162,12 +162,12 @@
 }
 
 /// The candidates at which it may start; doubtful ones only where there is no other.
-fn with_room(demand: &Demand, candidates: &[Candidate], pace: &Pace) -> Vec<Candidate> {
+fn with_room(demand: &Demand, candidates: &[Candidate], stats: &EngineStats) -> Vec<Candidate> {
     let any_sound = candidates.iter().any(|candidate| !candidate.doubtful);
     candidates
         .iter()
         .filter(|candidate| !(any_sound && candidate.doubtful))
-        .filter(|candidate| demand.has_room(candidate, pace))
+        .filter(|candidate| demand.has_room(candidate, stats))
         .cloned()
         .collect()
 }
--- a/src/gateway/admit/tests.rs
+++ b/src/gateway/admit/tests.rs
@@ -5,7 +5,7 @@
 use quickcheck::quickcheck;
 
 use super::Demand;
-use super::Line;
+use super::QueueState;
 use super::Verdict;
 use super::decide;
 use super::return_after;
@@ -13,7 +13,7 @@
 use crate::gateway::admit::tests::crowd::Policy;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
-use crate::gateway::enginestats::Pace;
+use crate::gateway::enginestats::EngineStats;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Load;
 use crate::gateway::place::Candidate;
@@ -65,7 +65,7 @@
     }
 }
 
-pub(super) fn verdict(demand: &Demand, line: &Line<'_>, candidates: &[Candidate]) -> Verdict {
+pub(super) fn verdict(demand: &Demand, line: &QueueState<'_>, candidates: &[Candidate]) -> Verdict {
     let view = View {
         here: &DataCentre::new("north"),
         far_counts: FarCounts::Fresh,
@@ -90,31 +90,31 @@
 }
 
 /// The line of a host of six, with this much taken at all engines.
-fn line(pace: &Pace, ahead_tokens: u64, taken_tokens: u64) -> Line<'_> {
-    Line {
+fn line(stats: &EngineStats, ahead_tokens: u64, taken_tokens: u64) -> QueueState<'_> {
+    QueueState {
         ahead_tokens,
         taken_tokens,
         hosts: 6,
-        pace,
+        stats,
     }
 }
 
 /// One that observed that memory is free again after `turnover`.
-fn pace(turnover: Duration) -> Pace {
-    let mut pace = Pace::default();
+fn stats(turnover: Duration) -> EngineStats {
+    let mut stats = EngineStats::default();
     for _ in 0..1_000 {
-        pace.ended(4_000, turnover);
-        pace.first_event(3_000, Duration::from_millis(400));
+        stats.record_end(4_000, turnover);
+        stats.record_first_event(3_000, Duration::from_millis(400));
     }
-    pace
+    stats
 }
 
 #[test]
 fn it_starts_where_there_is_room() {
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let verdict = verdict(
         &report(None),
-        &line(&pace, 0, 30_000),
+        &line(&stats, 0, 30_000),
         &[running(7, 30_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Start(_)));
@@ -122,21 +122,21 @@
 
 #[test]
 fn an_empty_engine_takes_also_what_may_not_fit() {
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let huge = Demand {
         need: need(30_000, 20_000),
         ..report(None)
     };
-    let verdict = verdict(&huge, &line(&pace, 0, 0), &[running(0, 0, 0)]);
+    let verdict = verdict(&huge, &line(&stats, 0, 0), &[running(0, 0, 0)]);
     assert!(matches!(verdict, Verdict::Start(_)));
 }
 
 #[test]
 fn it_waits_where_memory_is_expected_in_time() {
-    let pace = pace(Duration::from_secs(4));
+    let stats = stats(Duration::from_secs(4));
     let verdict = verdict(
         &report(None),
-        &line(&pace, 0, 500_000),
+        &line(&stats, 0, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Wait));
@@ -144,10 +144,10 @@
 
 #[test]
 fn it_is_refused_at_once_where_no_memory_is_expected_in_time() {
-    let pace = pace(Duration::from_secs(10));
+    let stats = stats(Duration::from_secs(10));
     let verdict = verdict(
         &report(None),
-        &line(&pace, 20_000, 500_000),
+        &line(&stats, 20_000, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Refuse(_)));
@@ -155,11 +155,11 @@
 
 #[test]
 fn it_is_refused_once_its_first_event_would_be_late() {
-    let pace = pace(Duration::from_secs(4));
+    let stats = stats(Duration::from_secs(4));
     let waited = Some(Duration::from_millis(700));
     let verdict = verdict(
         &report(waited),
-        &line(&pace, 0, 500_000),
+        &line(&stats, 0, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Refuse(_)));
@@ -167,10 +167,10 @@
 
 #[test]
 fn it_does_not_pass_those_ahead_of_it() {
-    let pace = pace(Duration::from_secs(1));
+    let stats = stats(Duration::from_secs(1));
     let verdict = verdict(
         &report(None),
-        &line(&pace, 4_000, 500_000),
+        &line(&stats, 4_000, 500_000),
         &[running(1, 4_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Wait));
@@ -178,39 +178,39 @@
 
 #[test]
 fn a_short_generation_fits_beside_what_has_not_grown_yet() {
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let full = [running(8, 33_000, 0)];
-    let verdict = verdict(&flag(), &line(&pace, 0, 33_000), &full);
+    let verdict = verdict(&flag(), &line(&stats, 0, 33_000), &full);
     assert!(matches!(verdict, Verdict::Start(_)));
 }
 
 #[test]
 fn prompts_are_not_queued_at_an_engine_beyond_the_objective() {
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let busy = [running(4, 12_000, 12_000)];
-    let verdict = verdict(&report(None), &line(&pace, 0, 12_000), &busy);
+    let verdict = verdict(&report(None), &line(&stats, 0, 12_000), &busy);
     assert!(!matches!(verdict, Verdict::Start(_)));
 }
 
 #[test]
 fn a_doubtful_engine_is_no_way_out_of_a_crowd() {
-    let pace = Pace::default();
+    let stats = EngineStats::default();
     let mut doubtful = running(1, 1_000, 0);
     doubtful.doubtful = true;
     let candidates = [running(8, 34_000, 0), doubtful];
-    let verdict = verdict(&report(None), &line(&pace, 0, 35_000), &candidates);
+    let verdict = verdict(&report(None), &line(&stats, 0, 35_000), &candidates);
     assert!(!matches!(verdict, Verdict::Start(_)));
 }
 
 quickcheck! {
     fn memory_is_never_promised_beyond_an_engines(loads: Vec<(u8, u16, u16)>, prompt: u16, output: u16) -> TestResult {
-        let pace = Pace::default();
+        let stats = EngineStats::default();
         let candidates: Vec<Candidate> = loads
             .iter()
             .map(|(requests, tokens, unread)| running(u32::from(*requests), u32::from(*tokens), u32::from(*unread)))
             .collect();
         let demand = Demand { need: need(u32::from(prompt), 101 + u32::from(output)), ..report(None) };
-        let Verdict::Start(chosen) = verdict(&demand, &line(&pace, 0, 1), &candidates) else {
+        let Verdict::Start(chosen) = verdict(&demand, &line(&stats, 0, 1), &candidates) else {
             return TestResult::discard();
         };
         let tokens = crate::gateway::place::tokens(demand.need);
--- a/src/gateway/admit/tests/crowd.rs
+++ b/src/gateway/admit/tests/crowd.rs
@@ -9,9 +9,9 @@
 use super::verdict;
 use crate::clock::Time;
 use crate::gateway::admit::Demand;
-use crate::gateway::admit::Line;
+use crate::gateway::admit::QueueState;
 use crate::gateway::admit::Verdict;
-use crate::gateway::enginestats::Pace;
+use crate::gateway::enginestats::EngineStats;
 use crate::gateway::loads::Load;
 use crate::gateway::place;
 use crate::gateway::place::Candidate;
@@ -104,7 +104,7 @@
     loads: Vec<Load>,
     runs: BTreeMap<AttemptId, Run>,
     line: Vec<(Generation, bool)>,
-    pace: Pace,
+    stats: EngineStats,
     outcome: Outcome,
     started: u128,
     reports_per_s: f64,
@@ -121,7 +121,7 @@
             loads: Vec::new(),
             runs: BTreeMap::new(),
             line: Vec::new(),
-            pace: Pace::default(),
+            stats: EngineStats::default(),
             outcome: Outcome::default(),
             started: 0,
             reports_per_s: 0.0,
@@ -269,11 +269,11 @@
             objective: OBJECTIVE,
             waited: has_waited.then(|| now.since(generation.arrived)),
         };
-        let line = Line {
+        let line = QueueState {
             ahead_tokens,
             taken_tokens: self.loads.iter().map(|load| u64::from(load.tokens)).sum(),
             hosts: 1,
-            pace: &self.pace,
+            stats: &self.stats,
         };
         match self.policy {
             Policy::Decide => verdict(&demand, &line, candidates),
@@ -355,10 +355,10 @@
         } else {
             run.first = Some(now);
             self.loads[run.engine].unread_tokens -= run.generation.prompt_tokens;
-            self.pace
-                .first_event(run.queued_tokens, now.since(run.sent));
+            self.stats
+                .record_first_event(run.queued_tokens, now.since(run.sent));
             let in_time = now.since(run.generation.arrived) <= OBJECTIVE;
-            self.pace.came(in_time);
+            self.stats.record_objective(in_time);
         }
         run.last = now;
     }
@@ -388,7 +388,7 @@
         if run.first.is_none() {
             load.unread_tokens -= run.generation.prompt_tokens;
         }
-        self.pace.ended(tokens, now.since(run.sent));
+        self.stats.record_end(tokens, now.since(run.sent));
         Some(run)
     }
 
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -35,14 +35,14 @@
     /// Its data centre.
     pub data_centre: &'a DataCentre,
     /// The other live hosts of its data centre.
-    pub near: &'a [HostId],
+    pub peers: &'a [HostId],
     /// Time since its start.
-    pub age: Duration,
+    pub uptime: Duration,
 }
 
 /// A cold upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Cold<'a> {
+pub struct ColdUpstream<'a> {
     /// The upstream.
     pub upstream: &'a InstanceId,
     /// Where it stands.
@@ -52,17 +52,17 @@
 }
 
 /// Requests that a host may send to a cold upstream in [`WINDOW`].
-pub fn share(sender: &Sender<'_>, cold: &Cold<'_>) -> usize {
-    if sender.age < KNOWS_OTHERS_AFTER || sender.data_centre != cold.data_centre {
+pub fn share(sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> usize {
+    if sender.uptime < KNOWS_OTHERS_AFTER || sender.data_centre != cold.data_centre {
         return 0;
     }
     // One that bears a single request may get it.
     let shared_out = ((cold.requests_per_s * SHARED_OUT) as usize).max(1);
-    let hosts = sender.near.len() + 1;
+    let hosts = sender.peers.len() + 1;
     if hosts <= shared_out {
         return shared_out / hosts;
     }
-    let others = sender.near.iter().map(HostId::as_str);
+    let others = sender.peers.iter().map(HostId::as_str);
     let before = rendezvous::count_before(sender.host.as_str(), others, cold.upstream.as_str());
     usize::from(before < shared_out)
 }
@@ -75,7 +75,7 @@
 
 impl ColdBudget {
     /// Whether this host may send one request more to a cold upstream.
-    pub fn allows(&self, now: Time, sender: &Sender<'_>, cold: &Cold<'_>) -> bool {
+    pub fn allows(&self, now: Time, sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> bool {
         let sent = self.sent.get(cold.upstream);
         let of_late = sent.map_or(0, |sent| {
             let recent = |at: &&Time| now.since(**at) < WINDOW;
@@ -92,7 +92,7 @@
     }
 
     /// Forgets what counts no more.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn prune(&mut self, now: Time) {
         self.sent.retain(|_, sent| {
             sent.retain(|at| now.since(*at) < WINDOW);
             !sent.is_empty()
--- a/src/gateway/cold/tests.rs
+++ b/src/gateway/cold/tests.rs
@@ -4,8 +4,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::Cold;
 use super::ColdBudget;
+use super::ColdUpstream;
 use super::Sender;
 use super::WINDOW;
 use super::share;
@@ -42,19 +42,19 @@
 
 /// What each of `hosts` may send to an upstream, of whom each hears those that `hears` lets it hear.
 fn shares(hosts: &[HostId], upstream: &InstanceId, mut hears: impl FnMut() -> bool) -> Vec<usize> {
-    let cold = Cold {
+    let cold = ColdUpstream {
         upstream,
         data_centre: &north(),
         requests_per_s: TOLERATED_PER_S,
     };
     let of_host = |host: &HostId| {
         let others = hosts.iter().filter(|other| *other != host);
-        let near: Vec<HostId> = others.filter(|_| hears()).cloned().collect();
+        let peers: Vec<HostId> = others.filter(|_| hears()).cloned().collect();
         let sender = Sender {
             host,
             data_centre: &north(),
-            near: &near,
-            age: OLD,
+            peers: &peers,
+            uptime: OLD,
         };
         share(&sender, &cold)
     };
@@ -125,7 +125,7 @@
 fn hosts_elsewhere_and_hosts_that_have_just_started_send_nothing() {
     let upstream = instance(0);
     let south = DataCentre::new("south");
-    let cold = Cold {
+    let cold = ColdUpstream {
         upstream: &upstream,
         data_centre: &north(),
         requests_per_s: TOLERATED_PER_S,
@@ -134,12 +134,12 @@
     let old = Sender {
         host: &host,
         data_centre: &south,
-        near: &[],
-        age: OLD,
+        peers: &[],
+        uptime: OLD,
     };
     let young = Sender {
         data_centre: &north(),
-        age: Duration::from_secs(1),
+        uptime: Duration::from_secs(1),
         ..old
     };
 
@@ -153,10 +153,10 @@
     let sender = Sender {
         host: &host,
         data_centre: &north(),
-        near: &[],
-        age: OLD,
+        peers: &[],
+        uptime: OLD,
     };
-    let cold = Cold {
+    let cold = ColdUpstream {
         upstream: &upstream,
         data_centre: &north(),
         requests_per_s: 2.5,
@@ -172,7 +172,7 @@
     });
     let taken = taken.count();
     let later = Time::ZERO + WINDOW;
-    budget.lapse(later);
+    budget.prune(later);
 
     assert_eq!(taken, 2);
     assert!(budget.allows(later, &sender, &cold));
--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -15,7 +15,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
 use crate::gateway::loads::Load;
-use crate::gateway::movequeue::ToMove;
+use crate::gateway::movequeue::PendingMoves;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
@@ -124,7 +124,7 @@
     /// What runs where.
     pub loads: ToldLoads,
     /// Runs that it has still to move off engines that are leaving.
-    pub moving: Vec<ToMove>,
+    pub moving: Vec<PendingMoves>,
     /// Upstreams that it saw leaving.
     pub leaving: Vec<InstanceId>,
     /// Upstreams that it can't connect to now.
--- a/src/gateway/destinations.rs
+++ b/src/gateway/destinations.rs
@@ -15,20 +15,20 @@
 
 /// The leaving engines among which the engines of a data centre are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Among {
+pub(crate) enum Scope {
     /// Those of the same data centre, if one leaves there.
-    Near,
+    Local,
     /// All: where the engines divided among the near ones have no room.
     All,
 }
 
 /// Those of `ready` that take the runs of `source`, which is one of `leaving`. Both lists are in
 /// the order of their ids. Empty where there are fewer engines left than are leaving.
-pub(crate) fn of_source(
+pub(crate) fn assign(
     source: &InstanceId,
     leaving: &[Arc<Upstream>],
     ready: &[Arc<Upstream>],
-    among: Among,
+    among: Scope,
 ) -> BTreeSet<InstanceId> {
     let data_centres: BTreeSet<&DataCentre> = ready.iter().map(|to| &to.data_centre).collect();
     let shares = data_centres.into_iter().flat_map(|data_centre| {
@@ -47,7 +47,7 @@
 fn sources_for<'a>(
     data_centre: &DataCentre,
     leaving: &'a [Arc<Upstream>],
-    among: Among,
+    among: Scope,
 ) -> Vec<&'a InstanceId> {
     let near = leaving
         .iter()
@@ -55,8 +55,8 @@
         .map(|from| &from.id);
     let near: Vec<&InstanceId> = near.collect();
     match among {
-        Among::Near if !near.is_empty() => near,
-        Among::Near | Among::All => leaving.iter().map(|from| &from.id).collect(),
+        Scope::Local if !near.is_empty() => near,
+        Scope::Local | Scope::All => leaving.iter().map(|from| &from.id).collect(),
     }
 }
 
--- a/src/gateway/destinations/tests.rs
+++ b/src/gateway/destinations/tests.rs
@@ -1,8 +1,8 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::Among;
-use super::of_source;
+use super::Scope;
+use super::assign;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::instance::InstanceId;
@@ -40,8 +40,8 @@
     let leaving = engines(&["x", "y"], "north");
     let ready = engines(&["a", "b", "c", "d", "e"], "north");
 
-    let of_x = of_source(&leaving[0].id, &leaving, &ready, Among::Near);
-    let of_y = of_source(&leaving[1].id, &leaving, &ready, Among::Near);
+    let of_x = assign(&leaving[0].id, &leaving, &ready, Scope::Local);
+    let of_y = assign(&leaving[1].id, &leaving, &ready, Scope::Local);
 
     assert_eq!(of_x, ids(&["a", "c", "e"]));
     assert_eq!(of_y, ids(&["b", "d"]));
@@ -54,11 +54,11 @@
     ready.extend(engines(&["c", "d"], "south"));
 
     assert_eq!(
-        of_source(&leaving[0].id, &leaving, &ready, Among::Near),
+        assign(&leaving[0].id, &leaving, &ready, Scope::Local),
         ids(&["a", "b"])
     );
     assert_eq!(
-        of_source(&leaving[1].id, &leaving, &ready, Among::Near),
+        assign(&leaving[1].id, &leaving, &ready, Scope::Local),
         ids(&["c", "d"])
     );
 }
@@ -69,11 +69,11 @@
     let ready = engines(&["a", "b", "c"], "east");
 
     assert_eq!(
-        of_source(&leaving[0].id, &leaving, &ready, Among::Near),
+        assign(&leaving[0].id, &leaving, &ready, Scope::Local),
         ids(&["a", "c"])
     );
     assert_eq!(
-        of_source(&leaving[1].id, &leaving, &ready, Among::Near),
+        assign(&leaving[1].id, &leaving, &ready, Scope::Local),
         ids(&["b"])
     );
 }
@@ -83,22 +83,22 @@
     let leaving = engines(&["x", "y"], "north");
     let ready = engines(&["a"], "north");
 
-    assert!(of_source(&leaving[1].id, &leaving, &ready, Among::Near).is_empty());
+    assert!(assign(&leaving[1].id, &leaving, &ready, Scope::Local).is_empty());
     assert!(
-        of_source(
+        assign(
             &InstanceId::from(UpstreamId::new("z")),
             &leaving,
             &ready,
-            Among::Near
+            Scope::Local
         )
         .is_empty()
     );
     assert!(
-        of_source(
+        assign(
             &InstanceId::from(UpstreamId::new("x")),
             &[],
             &ready,
-            Among::Near
+            Scope::Local
         )
         .is_empty()
     );
@@ -110,11 +110,11 @@
     let ready = engines(&["a", "b"], "north");
 
     assert_eq!(
-        of_source(&leaving[0].id, &leaving, &ready, Among::All),
+        assign(&leaving[0].id, &leaving, &ready, Scope::All),
         ids(&["a"])
     );
     assert_eq!(
-        of_source(&leaving[1].id, &leaving, &ready, Among::All),
+        assign(&leaving[1].id, &leaving, &ready, Scope::All),
         ids(&["b"])
     );
 }
--- a/src/gateway/enginestats.rs
+++ b/src/gateway/enginestats.rs
@@ -38,7 +38,7 @@
 
 /// What was observed.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct EngineStats {
     read_tokens: f64,
     read_s: f64,
     errors: [f64; ERROR_CLASSES],
@@ -48,9 +48,9 @@
     ended_token_s: f64,
 }
 
-impl Default for Pace {
+impl Default for EngineStats {
     fn default() -> Self {
-        Pace {
+        EngineStats {
             read_tokens: READ_START_TOKENS,
             read_s: READ_START_TOKENS / READ_START_TOKENS_PER_S,
             errors: first_errors(),
@@ -72,10 +72,10 @@
     errors
 }
 
-impl Pace {
+impl EngineStats {
     /// A first event came `time` after its request was sent, where with its own prompt `tokens` were
     /// still to be read.
-    pub fn first_event(&mut self, tokens: u32, time: Duration) {
+    pub fn record_first_event(&mut self, tokens: u32, time: Duration) {
         let error_s = time.as_secs_f64() - self.expected(tokens).as_secs_f64();
         self.errors.iter_mut().for_each(|count| *count *= KEPT);
         self.errors[error_class(error_s)] += 1.0;
@@ -84,7 +84,7 @@
     }
 
     /// Whether a first event came within its request's objective.
-    pub fn came(&mut self, in_time: bool) {
+    pub fn record_objective(&mut self, in_time: bool) {
         let caution = match in_time {
             true => self.caution - CAUTION_LOWERED,
             false => self.caution + CAUTION_RAISED,
@@ -98,7 +98,7 @@
     }
 
     /// A generation that was planned to take `tokens` has ended `time` after it was sent.
-    pub fn ended(&mut self, tokens: u32, time: Duration) {
+    pub fn record_end(&mut self, tokens: u32, time: Duration) {
         let tokens = f64::from(tokens);
         self.ended_tokens = self.ended_tokens * KEPT + tokens;
         self.ended_token_s = self.ended_token_s * KEPT + tokens * time.as_secs_f64();
@@ -110,7 +110,7 @@
     }
 
     /// The time within which nearly all first events come where `tokens` are still to be read.
-    pub fn first_event_within(&self, tokens: u32) -> Duration {
+    pub fn first_event_bound(&self, tokens: u32) -> Duration {
         let within_s = self.expected(tokens).as_secs_f64() + self.error_within_s();
         Duration::from_secs_f64(within_s.max(0.0))
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -237,7 +237,7 @@
         unreadable: shared.unreadable(),
         peer_port: settings.peer_address.port(),
         loads: ToldLoads::OfHost(shared.loads().with(|loads| loads.own())),
-        moving: shared.turns().with(|turns| turns.own()),
+        moving: shared.turns().with(|turns| turns.pending()),
         unreachable: shared.unreachable(),
         suspects: shared.suspects(|suspects| suspects.tell(now)),
         hosts: shared.peers(|peers| peers.some(now)),
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -89,7 +89,7 @@
     let newer_config = datagram.config > shared.config_version();
     shared
         .turns()
-        .with(|turns| turns.hear(now, &datagram.host, datagram.moving));
+        .with(|turns| turns.receive(now, &datagram.host, datagram.moving));
     let data_centre = datagram.data_centre;
     take_evidence(shared, now, &datagram.host, &data_centre, datagram.evidence);
     take_loads(shared, now, datagram.host, &data_centre, datagram.loads);
--- a/src/gateway/movequeue.rs
+++ b/src/gateway/movequeue.rs
@@ -34,7 +34,7 @@
 
 /// What a host has still to move off one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToMove {
+pub struct PendingMoves {
     /// The engine.
     pub upstream: InstanceId,
     /// Runs, the one that is being moved among them.
@@ -55,17 +55,17 @@
 
 /// Who has what to move off which engine.
 #[derive(Debug, Default)]
-pub struct Turns {
+pub struct MoveQueues {
     own: BTreeMap<InstanceId, Line>,
-    peers: HashMap<HostId, (Time, Vec<ToMove>)>,
+    peers: HashMap<HostId, (Time, Vec<PendingMoves>)>,
     next_ticket: u64,
 }
 
-impl Turns {
+impl MoveQueues {
     /// What this host has still to move, for its peers.
-    pub fn own(&self) -> Vec<ToMove> {
+    pub fn pending(&self) -> Vec<PendingMoves> {
         let own = self.own.iter();
-        own.map(|(upstream, line)| ToMove {
+        own.map(|(upstream, line)| PendingMoves {
             upstream: upstream.clone(),
             runs: line.tickets.len() as u32,
             is_moving: line.moving.is_some(),
@@ -75,7 +75,7 @@
     }
 
     /// What a peer has still to move.
-    pub fn hear(&mut self, now: Time, host: &HostId, to_move: Vec<ToMove>) {
+    pub fn receive(&mut self, now: Time, host: &HostId, to_move: Vec<PendingMoves>) {
         if to_move.is_empty() {
             self.peers.remove(host);
         } else {
@@ -99,7 +99,7 @@
     }
 
     /// The run that is being moved goes to `to`.
-    fn goes_to(&mut self, upstream: &InstanceId, ticket: u64, to: &InstanceId) {
+    fn set_destination(&mut self, upstream: &InstanceId, ticket: u64, to: &InstanceId) {
         let line = self.own.get_mut(upstream);
         if let Some(line) = line.filter(|line| line.moving == Some(ticket)) {
             line.to = Some(to.clone());
@@ -108,7 +108,7 @@
 
     /// Where runs of other engines than `source` are being copied to now. Their links take one copy
     /// after another, and a run that was stopped would wait behind the others' copies.
-    pub fn taken_destinations(&self, now: Time, source: &InstanceId) -> BTreeSet<InstanceId> {
+    pub fn busy_destinations(&self, now: Time, source: &InstanceId) -> BTreeSet<InstanceId> {
         let heard = self.peers.values();
         let peers = heard
             .filter(|(at, _)| now.since(*at) < PEER_WORD_LASTS)
@@ -155,15 +155,15 @@
 
 /// A handle on the turns; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct TurnBoard(Arc<Mutex<Turns>>);
+pub struct MoveQueueHandle(Arc<Mutex<MoveQueues>>);
 
-impl TurnBoard {
-    fn turns(&self) -> MutexGuard<'_, Turns> {
+impl MoveQueueHandle {
+    fn turns(&self) -> MutexGuard<'_, MoveQueues> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Runs `use_turns` on the turns.
-    pub fn with<T>(&self, use_turns: impl FnOnce(&mut Turns) -> T) -> T {
+    pub fn with<T>(&self, use_turns: impl FnOnce(&mut MoveQueues) -> T) -> T {
         use_turns(&mut self.turns())
     }
 }
@@ -189,9 +189,9 @@
     }
 
     /// Tells the other hosts where the run goes.
-    pub fn goes_to(&self, to: &InstanceId) {
+    pub fn set_destination(&self, to: &InstanceId) {
         let turns = self.shared.turns();
-        turns.with(|turns| turns.goes_to(&self.upstream, self.number, to));
+        turns.with(|turns| turns.set_destination(&self.upstream, self.number, to));
         self.shared.tell_news();
     }
 
--- a/src/gateway/partition.rs
+++ b/src/gateway/partition.rs
@@ -14,22 +14,22 @@
 
 /// What is believed.
 #[derive(Debug, Default)]
-pub(crate) struct CutOff {
+pub(crate) struct PartitionDetector {
     service: Option<ServiceId>,
 }
 
 /// A change of the belief.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Change {
+pub(crate) enum PartitionChange {
     /// No upstream of the service can be reached.
     Lost(ServiceId),
     /// Other data centres are heard again.
-    Back(ServiceId),
+    Restored(ServiceId),
 }
 
-impl CutOff {
+impl PartitionDetector {
     /// Whether the host is cut off from a service.
-    pub(crate) fn is_cut_off(&self) -> bool {
+    pub(crate) fn is_partitioned(&self) -> bool {
         self.service.is_some()
     }
 
@@ -38,18 +38,18 @@
     ///
     /// A service that was lost stays so until others are heard: its callers went elsewhere, and no
     /// request shows whether its upstreams are back.
-    pub(crate) fn look(
+    pub(crate) fn update(
         &mut self,
         silence: Option<Duration>,
         lost: impl FnOnce() -> Option<ServiceId>,
-    ) -> Option<Change> {
+    ) -> Option<PartitionChange> {
         let is_alone = silence.is_some_and(|silence| silence > CUT_SILENCE);
         match (&self.service, is_alone) {
             (None, true) => {
                 self.service = lost();
-                self.service.clone().map(Change::Lost)
+                self.service.clone().map(PartitionChange::Lost)
             }
-            (Some(_), false) => self.service.take().map(Change::Back),
+            (Some(_), false) => self.service.take().map(PartitionChange::Restored),
             (None, false) | (Some(_), true) => None,
         }
     }
--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -16,7 +16,7 @@
 use crate::gateway::admit::Demand;
 use crate::gateway::admit::Prospect;
 use crate::gateway::admit::Verdict;
-use crate::gateway::enginestats::Pace;
+use crate::gateway::enginestats::EngineStats;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
 use crate::gateway::place;
@@ -46,17 +46,17 @@
     tokens: u32,
 }
 
-/// Those that wait, what runs of each customer, and the pace of engines.
+/// Those that wait, what runs of each customer, and the stats of engines.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct Queues {
     waiting: Vec<Waiting>,
     running_tokens: HashMap<CustomerId, u64>,
     next_number: u64,
     /// What was observed of engines.
-    pub pace: Pace,
+    pub stats: EngineStats,
 }
 
-impl Lines {
+impl Queues {
     fn join(
         &mut self,
         service: &ServiceId,
@@ -119,20 +119,20 @@
 
 /// A handle on the lines; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct LineBoard(Arc<Mutex<Lines>>);
+pub struct QueueHandle(Arc<Mutex<Queues>>);
 
-impl LineBoard {
+impl QueueHandle {
     /// Runs `use_lines` on the lines.
-    pub fn with<T>(&self, use_lines: impl FnOnce(&mut Lines) -> T) -> T {
+    pub fn with<T>(&self, use_lines: impl FnOnce(&mut Queues) -> T) -> T {
         use_lines(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Counts a generation as running for its customer until the guard is dropped.
-    pub fn run(&self, customer: Option<&CustomerId>, tokens: u32) -> Share {
+    pub fn track_running(&self, customer: Option<&CustomerId>, tokens: u32) -> RunningGuard {
         if let Some(customer) = customer {
             self.with(|lines| lines.start(customer, tokens));
         }
-        Share {
+        RunningGuard {
             board: self.clone(),
             customer: customer.cloned(),
             tokens,
@@ -143,23 +143,24 @@
 
 /// What a running generation counts for its customer.
 #[derive(Debug)]
-pub struct Share {
-    board: LineBoard,
+pub struct RunningGuard {
+    board: QueueHandle,
     customer: Option<CustomerId>,
     tokens: u32,
     began: Instant,
 }
 
-impl Share {
+impl RunningGuard {
     /// The generation has ended by itself. One that broke or never ran tells nothing of how long memory is
     /// taken.
     pub fn complete(&self) {
         let time = self.began.elapsed();
-        self.board.with(|lines| lines.pace.ended(self.tokens, time));
+        self.board
+            .with(|lines| lines.stats.record_end(self.tokens, time));
     }
 }
 
-impl Drop for Share {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         if let Some(customer) = &self.customer {
             self.board.with(|lines| lines.end(customer, self.tokens));
@@ -169,7 +170,7 @@
 
 /// A place in the line, given up when it is dropped.
 struct Ticket {
-    board: LineBoard,
+    board: QueueHandle,
     number: u64,
 }
 
@@ -317,14 +318,14 @@
     taken_tokens: u64,
     hosts: usize,
     engines: usize,
-    pace: Pace,
+    stats: EngineStats,
 }
 
 impl Believed {
     fn new(shared: &Shared, ticket: &Ticket, candidates: &[Candidate]) -> Self {
-        let (ahead_tokens, pace) = shared
+        let (ahead_tokens, stats) = shared
             .lines()
-            .with(|lines| (lines.ahead_tokens(ticket.number), lines.pace.clone()));
+            .with(|lines| (lines.ahead_tokens(ticket.number), lines.stats.clone()));
         let taken = candidates.iter();
         Believed {
             ahead_tokens,
@@ -333,16 +334,16 @@
                 .sum(),
             hosts: shared.hosts(),
             engines: candidates.len(),
-            pace,
+            stats,
         }
     }
 
     fn decide(&self, shared: &Shared, demand: &Demand, candidates: &[Candidate]) -> Verdict {
-        let line = admit::Line {
+        let line = admit::QueueState {
             ahead_tokens: self.ahead_tokens,
             taken_tokens: self.taken_tokens,
             hosts: self.hosts,
-            pace: &self.pace,
+            stats: &self.stats,
         };
         admit::decide(
             demand,
@@ -360,7 +361,7 @@
             .with("taken_tokens", self.taken_tokens)
             .with("engines", self.engines)
             .with("hosts", self.hosts)
-            .with("turnover_ms", self.pace.turnover().as_millis() as u64)
+            .with("turnover_ms", self.stats.turnover().as_millis() as u64)
             .with("far_counts", shared.far_counts().name())
             .write();
     }
--- a/src/gateway/queue/tests.rs
+++ b/src/gateway/queue/tests.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 
-use super::LineBoard;
-use super::Lines;
+use super::QueueHandle;
+use super::Queues;
 use super::Reserved;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
@@ -69,13 +69,13 @@
     ServiceId::new("inspection")
 }
 
-fn join(lines: &mut Lines, rank: u8, customer: &str) -> u64 {
+fn join(lines: &mut Queues, rank: u8, customer: &str) -> u64 {
     lines.join(&service(), rank, Some(&CustomerId::new(customer)), 1_000)
 }
 
 #[test]
 fn who_came_first_goes_first() {
-    let mut lines = Lines::default();
+    let mut lines = Queues::default();
     let first = join(&mut lines, 1, "a");
     let second = join(&mut lines, 1, "b");
     assert_eq!(lines.ahead_tokens(first), 0);
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_more_urgent_rank_goes_before_those_that_came_earlier() {
-    let mut lines = Lines::default();
+    let mut lines = Queues::default();
     let report = join(&mut lines, 1, "a");
     let flag = join(&mut lines, 0, "a");
     assert_eq!(lines.ahead_tokens(flag), 0);
@@ -95,9 +95,9 @@
 
 #[test]
 fn a_customer_of_whom_much_runs_waits_behind_the_others() {
-    let board = LineBoard::default();
+    let board = QueueHandle::default();
     let large = CustomerId::new("large");
-    let share = board.run(Some(&large), 9_000);
+    let share = board.track_running(Some(&large), 9_000);
     let (of_large, of_small) =
         board.with(|lines| (join(lines, 1, "large"), join(lines, 1, "small")));
     assert_eq!(board.with(|lines| lines.ahead_tokens(of_small)), 0);
@@ -108,7 +108,7 @@
 
 #[test]
 fn lines_of_other_services_are_not_waited_behind() {
-    let mut lines = Lines::default();
+    let mut lines = Queues::default();
     join(&mut lines, 0, "a");
     let other = lines.join(&ServiceId::new("other"), 1, None, 1_000);
     assert_eq!(lines.ahead_tokens(other), 0);
@@ -116,11 +116,11 @@
 
 #[test]
 fn only_a_run_that_completes_tells_the_pace() {
-    let board = LineBoard::default();
-    let turnover = || board.with(|lines| lines.pace.turnover());
+    let board = QueueHandle::default();
+    let turnover = || board.with(|lines| lines.stats.turnover());
     let before = turnover();
-    drop(board.run(None, 50_000));
+    drop(board.track_running(None, 50_000));
     assert_eq!(turnover(), before);
-    board.run(None, 50_000).complete();
+    board.track_running(None, 50_000).complete();
     assert!(turnover() < before);
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -30,8 +30,8 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining::Seeds;
 use crate::gateway::loads::LoadBoard;
-use crate::gateway::movequeue::TurnBoard;
-use crate::gateway::partition::CutOff;
+use crate::gateway::movequeue::MoveQueueHandle;
+use crate::gateway::partition::PartitionDetector;
 use crate::gateway::peerfetch::ListCache;
 use crate::gateway::peers::Fetch;
 use crate::gateway::peers::Peers;
@@ -39,7 +39,7 @@
 use crate::gateway::place::View;
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Protocol;
-use crate::gateway::queue::LineBoard;
+use crate::gateway::queue::QueueHandle;
 use crate::gateway::reach::Reach;
 use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
@@ -83,8 +83,8 @@
     loads: LoadBoard,
     words: watch::Sender<u64>,
     asks: watch::Sender<u64>,
-    turns: TurnBoard,
-    lines: LineBoard,
+    turns: MoveQueueHandle,
+    lines: QueueHandle,
     in_force: RwLock<Option<InForce>>,
     directory: Mutex<Directory>,
     directory_changed: watch::Sender<u64>,
@@ -107,7 +107,7 @@
     changes_read: watch::Sender<u64>,
     stops_at: OnceLock<Instant>,
     seeds: Mutex<Seeds>,
-    cut_off: Mutex<CutOff>,
+    cut_off: Mutex<PartitionDetector>,
     config_version: AtomicU64,
     catch_up: Mutex<CatchUp>,
     assembly: Mutex<Option<Assembly>>,
@@ -139,8 +139,8 @@
             loads: LoadBoard::default(),
             words: watch::channel(0).0,
             asks: watch::channel(0).0,
-            turns: TurnBoard::default(),
-            lines: LineBoard::default(),
+            turns: MoveQueueHandle::default(),
+            lines: QueueHandle::default(),
             in_force: RwLock::new(None),
             directory: Mutex::default(),
             directory_changed: watch::channel(0).0,
@@ -203,12 +203,12 @@
     }
 
     /// Generations that wait for room, and the pace of engines.
-    pub(crate) fn lines(&self) -> &LineBoard {
+    pub(crate) fn lines(&self) -> &QueueHandle {
         &self.0.lines
     }
 
     /// Whose turn it is to move runs off leaving engines.
-    pub fn turns(&self) -> &TurnBoard {
+    pub fn turns(&self) -> &MoveQueueHandle {
         &self.0.turns
     }
 
--- a/src/gateway/shared/coldness.rs
+++ b/src/gateway/shared/coldness.rs
@@ -5,7 +5,7 @@
 use super::Shared;
 use super::locked;
 use crate::clock::Time;
-use crate::gateway::cold::Cold;
+use crate::gateway::cold::ColdUpstream;
 use crate::gateway::cold::Sender;
 use crate::gateway::directory::Upstream;
 
@@ -27,10 +27,10 @@
         let sender = Sender {
             host: &settings.host,
             data_centre: &settings.data_centre,
-            near: &near,
-            age: Duration::from_micros(now.as_us()),
+            peers: &near,
+            uptime: Duration::from_micros(now.as_us()),
         };
-        let cold = Cold {
+        let cold = ColdUpstream {
             upstream: &upstream.id,
             data_centre: &upstream.data_centre,
             requests_per_s,
@@ -49,6 +49,6 @@
     /// Forgets what was sent to cold upstreams and counts no more.
     pub(crate) fn lapse_cold(&self) {
         let now = self.now();
-        locked(&self.0.cold_budget).lapse(now);
+        locked(&self.0.cold_budget).prune(now);
     }
 }
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -9,7 +9,7 @@
 use crate::ejection::Health;
 use crate::event::EventCode;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::partition::Change;
+use crate::gateway::partition::PartitionChange;
 use crate::gateway::reportedloads::ReportedLoad;
 use crate::id::HostId;
 use crate::id::ServiceId;
@@ -109,7 +109,7 @@
 
     /// Whether this host is cut off from all upstreams of a service that others can reach.
     pub fn is_cut_off(&self) -> bool {
-        locked(&self.0.cut_off).is_cut_off()
+        locked(&self.0.cut_off).is_partitioned()
     }
 
     /// Looks whether a cut keeps this host from a service, or has ended.
@@ -117,12 +117,12 @@
         let now = self.now();
         let silence = self.peers(|peers| peers.silence_outside(now));
         let lost = || self.service_out_of_reach(now);
-        let Some(change) = locked(&self.0.cut_off).look(silence, lost) else {
+        let Some(change) = locked(&self.0.cut_off).update(silence, lost) else {
             return;
         };
         let (code, service) = match &change {
-            Change::Lost(service) => (EventCode::ServiceOutOfReach, service),
-            Change::Back(service) => (EventCode::ServiceInReach, service),
+            PartitionChange::Lost(service) => (EventCode::ServiceOutOfReach, service),
+            PartitionChange::Restored(service) => (EventCode::ServiceInReach, service),
         };
         let line = self.log().line(code);
         line.with("service", service.as_str())
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -31,7 +31,7 @@
 use crate::gateway::place::tokens;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::queue;
-use crate::gateway::queue::Share;
+use crate::gateway::queue::RunningGuard;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::serve::Admitted;
@@ -140,7 +140,9 @@
             }
             Err(refusal) => return admitted.refuse(shared, &refusal),
         };
-        let share = shared.lines().run(admitted.customer.as_ref(), tokens(need));
+        let share = shared
+            .lines()
+            .track_running(admitted.customer.as_ref(), tokens(need));
         let upstream = candidate.upstream;
         tries.begin(&upstream.id);
         let _trial = shared.trial(&upstream.id);
@@ -357,7 +359,12 @@
 }
 
 /// The head of the engine's answer, and its events as they come.
-fn respond(shared: Shared, admitted: Admitted, running: Running, share: Share) -> HttpResponse {
+fn respond(
+    shared: Shared,
+    admitted: Admitted,
+    running: Running,
+    share: RunningGuard,
+) -> HttpResponse {
     shared.ejector(|ejector| ejector.succeeded(&running.upstream.id));
     let mut response = call::respond(&running.head);
     if shared.sends_callers_away() {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -16,7 +16,7 @@
 use super::relay::Relay;
 use crate::event::EventCode;
 use crate::gateway::destinations;
-use crate::gateway::destinations::Among;
+use crate::gateway::destinations::Scope;
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
@@ -138,7 +138,7 @@
             return;
         };
         self.moves += 1;
-        ticket.goes_to(&to.id);
+        ticket.set_destination(&to.id);
         // Reserves what the run will need when it goes on there.
         self.shared.sends_to(&to);
         self.note_move("copying", Some(&to));
@@ -194,7 +194,7 @@
         };
         let candidates = serve::candidates(&self.shared, &self.admitted, &self.avoid, Breadth::All);
         let room = f64::from(engine.memory_tokens) * DESTINATION_MEMORY_SHARE_MAX;
-        let of_share = |among: Among| -> Vec<Candidate> {
+        let of_share = |among: Scope| -> Vec<Candidate> {
             let own = self.own_destinations(among);
             let own = candidates
                 .iter()
@@ -203,8 +203,8 @@
             own.cloned().collect()
         };
         let choose = |among: &[Candidate]| serve::choose(&self.shared, need, among);
-        let candidate = choose(&self.free(of_share(Among::Near)))
-            .or_else(|| choose(&self.free(of_share(Among::All))))
+        let candidate = choose(&self.free(of_share(Scope::Local)))
+            .or_else(|| choose(&self.free(of_share(Scope::All))))
             .or_else(|| choose(&self.free(candidates.clone())))
             .or_else(|| choose(&candidates))?;
         Some(candidate.upstream)
@@ -215,20 +215,20 @@
         let now = self.shared.now();
         let source = &self.running.upstream.id;
         let turns = self.shared.turns();
-        let taken = turns.with(|turns| turns.taken_destinations(now, source));
+        let taken = turns.with(|turns| turns.busy_destinations(now, source));
         candidates.retain(|candidate| !taken.contains(&candidate.upstream.id));
         candidates
     }
 
     /// The engines that take runs of this run's engine and of no other one.
-    fn own_destinations(&self, among: Among) -> BTreeSet<InstanceId> {
+    fn own_destinations(&self, among: Scope) -> BTreeSet<InstanceId> {
         let now = self.shared.now();
         let service = &self.admitted.service;
         let (leaving, ready) = self.shared.directory(|directory| {
             let leaving = directory.leaving(now, service, MOVES_LAST);
             (leaving, directory.ready(service))
         });
-        destinations::of_source(&self.running.upstream.id, &leaving, &ready, among)
+        destinations::assign(&self.running.upstream.id, &leaving, &ready, among)
     }
 
     pub(super) fn first_copied(&mut self, result: CopyResult) {
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -18,7 +18,7 @@
 use crate::gateway::events::EventSplitter;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::movequeue::Ticket;
-use crate::gateway::queue::Share;
+use crate::gateway::queue::RunningGuard;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::serve::Admitted;
@@ -55,7 +55,7 @@
     pub(super) gap_max: Duration,
     pub(super) ended: bool,
     /// What it counts for its customer.
-    share: Share,
+    share: RunningGuard,
 }
 
 /// What happened next.
@@ -70,7 +70,12 @@
 }
 
 impl Relay {
-    pub(super) fn new(shared: Shared, admitted: Admitted, running: Running, share: Share) -> Self {
+    pub(super) fn new(
+        shared: Shared,
+        admitted: Admitted,
+        running: Running,
+        share: RunningGuard,
+    ) -> Self {
         let class = ClassId::new(format!("{}", admitted.priority));
         let meter = StreamMeter::start(shared.now(), &admitted.service, &class);
         let mut changes = shared.directory_watch();
@@ -204,8 +209,8 @@
         let tokens = self.running.unread_tokens;
         let in_time = self.admitted.arrived.elapsed() <= self.admitted.route.objective;
         self.shared.lines().with(|lines| {
-            lines.pace.first_event(tokens, time);
-            lines.pace.came(in_time);
+            lines.stats.record_first_event(tokens, time);
+            lines.stats.record_objective(in_time);
         });
     }
 
