--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -237,7 +237,7 @@
         unreadable: shared.unreadable_topics(),
         peer_port: settings.peer_address.port(),
         loads: ToldLoads::OfHost(shared.loads().with(|loads| loads.own())),
-        moving: shared.turns().with(|turns| turns.own()),
+        moving: shared.turns().with(|turns| turns.pending()),
         unreachable: shared.unreachable_upstreams(),
         suspects: shared.suspects(|suspects| suspects.announce(now)),
         hosts: shared.peers(|peers| peers.some(now)),
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -25,12 +25,12 @@
 use crate::gateway::exchange::Whole;
 use crate::gateway::forward::AttemptHeaders;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::line;
-use crate::gateway::line::Share;
 use crate::gateway::loads::Occupied;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::GenerationSize;
+use crate::gateway::queue;
+use crate::gateway::queue::RunningGuard;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::serve::Admitted;
@@ -141,7 +141,7 @@
         };
         let share = shared
             .queues()
-            .run(admitted.customer.as_ref(), need.tokens());
+            .track_running(admitted.customer.as_ref(), need.tokens());
         let upstream = candidate.upstream;
         tries.begin(&upstream.id);
         let _trial = shared.begin_send(&upstream.id);
@@ -200,7 +200,7 @@
     avoid: &[InstanceId],
 ) -> Result<Option<Candidate>, Refusal> {
     match need {
-        Need::Memory { .. } => line::wait_for_room(shared, admitted, need, avoid).await,
+        Need::Memory { .. } => queue::wait_for_room(shared, admitted, need, avoid).await,
         Need::Slot | Need::Copy { .. } => match shared.refuse_suspect(admitted) {
             Some(refusal) => Err(refusal),
             None => Ok(admitted.place(shared, need, avoid)),
@@ -369,7 +369,12 @@
 }
 
 /// The head of the engine's answer, and its events as they come.
-fn respond(shared: Shared, admitted: Admitted, running: Running, share: Share) -> HttpResponse {
+fn respond(
+    shared: Shared,
+    admitted: Admitted,
+    running: Running,
+    share: RunningGuard,
+) -> HttpResponse {
     shared.ejector(|ejector| ejector.succeeded(&running.upstream.id));
     let mut response = call::respond(&running.head);
     if shared.closes_connections() {
