--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -16,11 +16,11 @@
 
 use std::time::Duration;
 
+use crate::gateway::enginestats::EngineStats;
 use crate::gateway::placement;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::placement::PlacementContext;
-use crate::gateway::enginestats::EngineStats;
 
 /// What runs holds on average this share of what it is planned to need at its end.
 const GROWN_SHARE: f64 = 0.87;
