--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -67,7 +67,7 @@
     let Some(newer) = newer else {
         return HttpResponse::NotFound().finish();
     };
-    match newer.cut().manifest().encode() {
+    match newer.pieces().manifest().encode() {
         Ok(manifest) => HttpResponse::Ok().body(manifest),
         Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
@@ -91,7 +91,7 @@
 
 fn frames_of(shared: &Shared, ids: &[u8]) -> Result<Vec<Bytes>> {
     let in_force = shared.active_config();
-    let cut = in_force.as_ref().map(|held| held.cut());
+    let cut = in_force.as_ref().map(|held| held.pieces());
     let frame = |id: PieceId| {
         let packed = cut.map(|cut| cut.packed(id)).transpose()?.flatten();
         Ok(frames::frame(packed.as_ref()))
@@ -239,7 +239,7 @@
     fn begin(&mut self, manifest: Manifest) {
         let shelf = self.assembly.take().map(Assembly::into_shelf);
         let in_force = self.shared.active_config();
-        let cut = in_force.as_ref().map(|held| held.cut());
+        let cut = in_force.as_ref().map(|held| held.pieces());
         let assembly = Assembly::begin(manifest, cut, shelf.unwrap_or_default());
         self.assembly = Some(assembly);
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -23,9 +23,9 @@
 use crate::gateway::protocol::OwnCall;
 use crate::gateway::protocol::Record;
 use crate::gateway::protocol::Topic;
+use crate::gateway::shared::ChangeSource;
 use crate::gateway::shared::Freshness;
 use crate::gateway::shared::Shared;
-use crate::gateway::shared::ToldBy;
 use crate::gateway::ticks::tick;
 use crate::id::UpstreamId;
 use crate::telemetry;
@@ -380,7 +380,8 @@
             changes.extend(change);
         }
         self.shared.directory(|directory| directory.advance(next));
-        self.shared.record_changes(changes, ToldBy::Own("log"));
+        self.shared
+            .record_changes(changes, ChangeSource::Local("log"));
     }
 
     fn take_all_upstreams(&self, records: &[Record], end: Position) {
@@ -395,7 +396,8 @@
         let changes = self
             .shared
             .directory(|directory| directory.replace(now, listed, end));
-        self.shared.record_changes(changes, ToldBy::Own("log"));
+        self.shared
+            .record_changes(changes, ChangeSource::Local("log"));
     }
 }
 
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -14,15 +14,15 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Record;
 use crate::gateway::protocol::Topic;
-use crate::gateway::shared::Outdated;
 use crate::gateway::shared::Shared;
+use crate::gateway::shared::StaleAnswer;
 
 /// The status of an append under a condition that doesn't hold (RFC 9110, section 15.5.13).
 const CONDITION_FAILED: u16 = 412;
 
 /// The history of the log that an answer is of.
 pub(super) fn era_of(shared: &Shared, headers: &HeaderMap) -> Step<Era> {
-    shared.check_answer_era(headers).map_err(|Outdated| {
+    shared.check_answer_era(headers).map_err(|StaleAnswer| {
         Interrupted::Unavailable("an answer from before the log's return".to_owned())
     })
 }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -23,8 +23,8 @@
 use crate::gateway::peers::Acquaintance;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
+use crate::gateway::shared::ChangeSource;
 use crate::gateway::shared::Shared;
-use crate::gateway::shared::ToldBy;
 use crate::id::DataCentre;
 use crate::id::HostId;
 
@@ -208,7 +208,7 @@
         }
         same
     });
-    shared.record_changes(changes, ToldBy::Host(told.host.as_str()));
+    shared.record_changes(changes, ChangeSource::Peer(told.host.as_str()));
     !same && !told.has_more_changes
 }
 
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -33,8 +33,8 @@
 use crate::gateway::protocol::OwnCall;
 use crate::gateway::rollouts::ToldRollout;
 use crate::gateway::serving::Serving;
+use crate::gateway::shared::ChangeSource;
 use crate::gateway::shared::Shared;
-use crate::gateway::shared::ToldBy;
 
 /// zstd's level at which a list of ten thousand upstreams takes a host milliseconds.
 const LEVEL: i32 = 1;
@@ -342,7 +342,7 @@
         }
         (changes, is_same)
     });
-    shared.record_changes(changes, ToldBy::Host(&client.peer.to_string()));
+    shared.record_changes(changes, ChangeSource::Peer(&client.peer.to_string()));
     Ok(match is_same {
         true => Outcome::Taken,
         false => Outcome::Differs,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -63,9 +63,9 @@
 mod suspicion;
 mod waking;
 
-pub(crate) use self::changes::ToldBy;
-pub use self::inforce::InForce;
-pub(crate) use self::logera::Outdated;
+pub(crate) use self::changes::ChangeSource;
+pub use self::inforce::ActiveConfig;
+pub(crate) use self::logera::StaleAnswer;
 pub(crate) use self::rolling::Freshness;
 pub(crate) use self::rolling::OpenRollout;
 
@@ -85,7 +85,7 @@
     asks: watch::Sender<u64>,
     turns: TurnBoard,
     lines: LineBoard,
-    in_force: RwLock<Option<InForce>>,
+    in_force: RwLock<Option<ActiveConfig>>,
     directory: Mutex<Directory>,
     directory_changed: watch::Sender<u64>,
     hearsay: Mutex<Hearsay>,
@@ -116,7 +116,7 @@
     list_cache: Mutex<ListCache>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -214,12 +214,12 @@
 
     /// Runs `use_directory` on the upstreams.
     pub fn directory<T>(&self, use_directory: impl FnOnce(&mut Directory) -> T) -> T {
-        use_directory(&mut locked(&self.0.directory))
+        use_directory(&mut lock(&self.0.directory))
     }
 
     /// Runs `use_peers` on the other hosts.
     pub fn peers<T>(&self, use_peers: impl FnOnce(&mut Peers) -> T) -> T {
-        use_peers(&mut locked(&self.0.peers))
+        use_peers(&mut lock(&self.0.peers))
     }
 
     /// Wakes when peers should be told something at once.
@@ -266,12 +266,12 @@
 
     /// Whether the seeds could be connected to when the host started.
     pub(crate) fn seed_state(&self) -> Seeds {
-        *locked(&self.0.seeds)
+        *lock(&self.0.seeds)
     }
 
     /// The seeds were tried.
     pub(crate) fn set_seed_state(&self, seeds: Seeds) {
-        *locked(&self.0.seeds) = seeds;
+        *lock(&self.0.seeds) = seeds;
     }
 
     /// Live hosts, this one among them.
@@ -321,7 +321,7 @@
         service: &ServiceId,
         use_budget: impl FnOnce(&mut SharedRetryBudget) -> T,
     ) -> T {
-        let mut budgets = locked(&self.0.budgets);
+        let mut budgets = lock(&self.0.budgets);
         if !budgets.contains_key(service) {
             let budget = SharedRetryBudget::new(self.settings().retries, rand::random());
             budgets.insert(service.clone(), budget);
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -3,7 +3,7 @@
 use tokio::sync::watch;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::event::EventCode;
 use crate::gateway::directory::Applied;
 use crate::gateway::directory::DirectoryChange;
@@ -12,29 +12,29 @@
 
 /// Who told of a change.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum ToldBy<'a> {
+pub(crate) enum ChangeSource<'a> {
     /// The log, or this host's own clock.
-    Own(&'a str),
+    Local(&'a str),
     /// Another host, by its name or address.
-    Host(&'a str),
+    Peer(&'a str),
 }
 
 impl Shared {
     /// Records changes of the directory and wakes whom they concern.
-    pub(crate) fn record_changes(&self, changes: Vec<Applied>, told_by: ToldBy<'_>) {
+    pub(crate) fn record_changes(&self, changes: Vec<Applied>, told_by: ChangeSource<'_>) {
         if changes.is_empty() {
             return;
         }
         for applied in changes {
             if let Some(ended) = &applied.ended {
-                locked(&self.0.ejector).forget(ended);
-                locked(&self.0.reach).forget(ended);
+                lock(&self.0.ejector).forget(ended);
+                lock(&self.0.reach).forget(ended);
             }
             match told_by {
-                ToldBy::Own(source) => self.log_change(&applied, source),
-                ToldBy::Host(host) => {
+                ChangeSource::Local(source) => self.log_change(&applied, source),
+                ChangeSource::Peer(host) => {
                     let now = self.now();
-                    locked(&self.0.hearsay).note(now, host, &applied.id, applied.change);
+                    lock(&self.0.hearsay).note(now, host, &applied.id, applied.change);
                 }
             }
         }
@@ -76,7 +76,7 @@
     /// Writes what was heard of upstreams, if it is time to.
     pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
-        let Some(gathered) = locked(&self.0.hearsay).take_due(now) else {
+        let Some(gathered) = lock(&self.0.hearsay).take_due(now) else {
             return;
         };
         let first: Vec<&str> = gathered.first.iter().map(InstanceId::as_str).collect();
@@ -119,6 +119,9 @@
 
     /// Upstreams that were missing since an outage of the log count as gone.
     pub fn record_expired(&self, lapsed: Vec<Applied>) {
-        self.record_changes(lapsed, ToldBy::Own("missing since the log's return"));
+        self.record_changes(
+            lapsed,
+            ChangeSource::Local("missing since the log's return"),
+        );
     }
 }
--- a/src/gateway/shared/coldness.rs
+++ b/src/gateway/shared/coldness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::clock::Time;
 use crate::gateway::cold::Cold;
 use crate::gateway::cold::Sender;
@@ -35,20 +35,20 @@
             data_centre: &upstream.data_centre,
             requests_per_s,
         };
-        locked(&self.0.cold_budget).allows(now, &sender, &cold)
+        lock(&self.0.cold_budget).allows(now, &sender, &cold)
     }
 
     /// A request of this host goes to an upstream.
     pub(crate) fn record_send(&self, upstream: &Upstream) {
         let now = self.now();
         if self.directory(|directory| directory.is_cold(now, &upstream.id)) {
-            locked(&self.0.cold_budget).spend(now, &upstream.id);
+            lock(&self.0.cold_budget).spend(now, &upstream.id);
         }
     }
 
     /// Forgets what was sent to cold upstreams and counts no more.
     pub(crate) fn expire_cold_sends(&self) {
         let now = self.now();
-        locked(&self.0.cold_budget).lapse(now);
+        lock(&self.0.cold_budget).lapse(now);
     }
 }
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -3,7 +3,7 @@
 use http::HeaderMap;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::clock::Time;
 use crate::ejection::Ejector;
 use crate::ejection::Health;
@@ -20,13 +20,13 @@
 impl Shared {
     /// Runs `use_ejector` on what is known of upstreams' failures.
     pub(crate) fn ejector<T>(&self, use_ejector: impl FnOnce(&mut Ejector<InstanceId>) -> T) -> T {
-        use_ejector(&mut locked(&self.0.ejector))
+        use_ejector(&mut lock(&self.0.ejector))
     }
 
     /// A connection to an upstream could not be established.
     pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
-        if locked(&self.0.reach).failed(now, upstream) {
+        if lock(&self.0.reach).failed(now, upstream) {
             let line = self.log().line(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
@@ -39,7 +39,7 @@
     pub fn receive_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
-            if locked(&self.0.reach).hear(now, upstream) {
+            if lock(&self.0.reach).hear(now, upstream) {
                 let line = self.log().line(EventCode::UpstreamLost);
                 line.with("upstream", upstream.as_str())
                     .with("source", peer.as_str())
@@ -50,20 +50,20 @@
 
     /// What this host itself can't connect to now.
     pub fn unreachable_upstreams(&self) -> Vec<InstanceId> {
-        locked(&self.0.reach).first_hand(self.now())
+        lock(&self.0.reach).first_hand(self.now())
     }
 
     /// An upstream may say what it holds.
     pub(crate) fn record_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
         if let Some(reported) = self.protocol().reported_load(headers) {
             let now = self.now();
-            locked(&self.0.reported_loads).note(now, upstream.key(), reported);
+            lock(&self.0.reported_loads).note(now, upstream.key(), reported);
         }
     }
 
     /// What an upstream said of itself a moment ago.
     pub(crate) fn reported_load(&self, now: Time, upstream: &InstanceId) -> Option<ReportedLoad> {
-        let reported = locked(&self.0.reported_loads);
+        let reported = lock(&self.0.reported_loads);
         match reported.is_empty() {
             true => None,
             false => reported.fresh(now, upstream.key()),
@@ -73,12 +73,12 @@
     /// Forgets what upstreams said of themselves a while ago.
     pub(crate) fn expire_reported_loads(&self) {
         let now = self.now();
-        locked(&self.0.reported_loads).lapse(now);
+        lock(&self.0.reported_loads).lapse(now);
     }
 
     /// A connection to an upstream was established.
     pub fn record_reached(&self, upstream: &InstanceId) {
-        if locked(&self.0.reach).reached(self.now(), upstream) {
+        if lock(&self.0.reach).reached(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
                 .with("change", "reached")
@@ -88,9 +88,9 @@
 
     /// A request goes to an upstream. If the upstream was ejected and may be tried again, this is the
     /// trial, and no other is made until the guard is dropped.
-    pub(crate) fn begin_send(&self, upstream: &InstanceId) -> Trial {
+    pub(crate) fn begin_send(&self, upstream: &InstanceId) -> SendGuard {
         self.ejector(|ejector| ejector.sent(upstream));
-        Trial {
+        SendGuard {
             shared: self.clone(),
             upstream: upstream.clone(),
         }
@@ -104,12 +104,12 @@
 
     /// Whether connections to an upstream could not be established a moment ago.
     pub(crate) fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
-        locked(&self.0.reach).is_passed_over(now, upstream)
+        lock(&self.0.reach).is_passed_over(now, upstream)
     }
 
     /// Whether this host is cut off from all upstreams of a service that others can reach.
     pub fn is_partitioned(&self) -> bool {
-        locked(&self.0.cut_off).is_cut_off()
+        lock(&self.0.cut_off).is_cut_off()
     }
 
     /// Looks whether a cut keeps this host from a service, or has ended.
@@ -117,7 +117,7 @@
         let now = self.now();
         let silence = self.peers(|peers| peers.silence_outside(now));
         let lost = || self.unreachable_service(now);
-        let Some(change) = locked(&self.0.cut_off).look(silence, lost) else {
+        let Some(change) = lock(&self.0.cut_off).look(silence, lost) else {
             return;
         };
         let (code, service) = match &change {
@@ -164,12 +164,12 @@
 
 /// A request that is under way to an upstream, for the judgement on the upstream's health.
 #[derive(Debug)]
-pub(crate) struct Trial {
+pub(crate) struct SendGuard {
     shared: Shared,
     upstream: InstanceId,
 }
 
-impl Drop for Trial {
+impl Drop for SendGuard {
     fn drop(&mut self) {
         let upstream = &self.upstream;
         self.shared.ejector(|ejector| ejector.abandoned(upstream));
--- a/src/gateway/shared/inforce.rs
+++ b/src/gateway/shared/inforce.rs
@@ -17,7 +17,7 @@
 
 /// A configuration with the document it was read from, of which peers may fetch pieces.
 #[derive(Debug, Clone)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// What is in force.
     pub configuration: Arc<Configuration>,
     source: Arc<Source>,
@@ -33,9 +33,9 @@
     cut: OnceLock<CutDocument>,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// The document in pieces.
-    pub fn cut(&self) -> &CutDocument {
+    pub fn pieces(&self) -> &CutDocument {
         let source = &self.source;
         source
             .cut
@@ -45,7 +45,7 @@
 
 impl Shared {
     /// The configuration in force.
-    pub fn active_config(&self) -> Option<InForce> {
+    pub fn active_config(&self) -> Option<ActiveConfig> {
         let in_force = self.0.in_force.read();
         in_force.unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -137,7 +137,7 @@
                 document: document.clone(),
                 cut,
             };
-            *in_force = Some(InForce {
+            *in_force = Some(ActiveConfig {
                 configuration: Arc::new(configuration),
                 source: Arc::new(source),
             });
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -3,7 +3,7 @@
 use http::HeaderMap;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::event::EventCode;
 use crate::gateway::position::Era;
 use crate::gateway::position::ToldEra;
@@ -12,23 +12,23 @@
 
 /// An answer of the log from before its return, which arrived after this host heard of the return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Outdated;
+pub(crate) struct StaleAnswer;
 
 impl Shared {
     /// The latest history of the log that this host has heard of.
     pub(crate) fn log_era(&self) -> Era {
-        *locked(&self.0.log_era)
+        *lock(&self.0.log_era)
     }
 
     /// The history that an answer of the log is of.
     ///
     /// # Errors
     ///
-    /// [`Outdated`] if the log has returned from an older copy since.
-    pub(crate) fn check_answer_era(&self, headers: &HeaderMap) -> Result<Era, Outdated> {
+    /// [`StaleAnswer`] if the log has returned from an older copy since.
+    pub(crate) fn check_answer_era(&self, headers: &HeaderMap) -> Result<Era, StaleAnswer> {
         let known = self.log_era();
         match ToldEra::of(headers, &self.protocol().headers().log_era) {
-            ToldEra::Era(era) if era < known => Err(Outdated),
+            ToldEra::Era(era) if era < known => Err(StaleAnswer),
             ToldEra::Era(era) => {
                 self.receive_era(era, "log");
                 Ok(era)
@@ -45,7 +45,7 @@
     /// void: what is listed is read anew, and upstreams whose entries were lost have time to list themselves again.
     pub(crate) fn receive_era(&self, era: Era, source: &str) {
         let known = {
-            let mut log_era = locked(&self.0.log_era);
+            let mut log_era = lock(&self.0.log_era);
             let known = *log_era;
             *log_era = known.max(era);
             known
@@ -72,7 +72,7 @@
     fn log_bad_era(&self) {
         telemetry::count(Metric::BadErasTotal);
         let known = self.log_era();
-        if locked(&self.0.bad_era_in).replace(known) == Some(known) {
+        if lock(&self.0.bad_era_in).replace(known) == Some(known) {
             return;
         }
         let line = self.log().line(EventCode::RecordSkipped);
--- a/src/gateway/shared/newer.rs
+++ b/src/gateway/shared/newer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::gateway::document::assembly::Assembly;
 use crate::gateway::document::catchup::CatchUp;
 use crate::gateway::document::transfers::Transfers;
@@ -51,7 +51,7 @@
 
     /// Runs `use_catch_up` on the way to the newest version.
     pub(crate) fn catch_up<T>(&self, use_catch_up: impl FnOnce(&mut CatchUp) -> T) -> T {
-        use_catch_up(&mut locked(&self.0.catch_up))
+        use_catch_up(&mut lock(&self.0.catch_up))
     }
 
     /// Runs `use_transfers` on the transfers of `what` to other hosts.
@@ -60,32 +60,32 @@
         what: Fetch,
         use_transfers: impl FnOnce(&mut Transfers) -> T,
     ) -> T {
-        use_transfers(locked(&self.0.transfers).entry(what).or_default())
+        use_transfers(lock(&self.0.transfers).entry(what).or_default())
     }
 
     /// The same for the list of upstreams.
     pub(crate) fn list_catch_up<T>(&self, use_catch_up: impl FnOnce(&mut CatchUp) -> T) -> T {
-        use_catch_up(&mut locked(&self.0.list_catch_up))
+        use_catch_up(&mut lock(&self.0.list_catch_up))
     }
 
     /// Runs `use_cache` on the list of upstreams as it was last packed.
     pub(crate) fn list_cache<T>(&self, use_cache: impl FnOnce(&mut ListCache) -> T) -> T {
-        use_cache(&mut locked(&self.0.list_cache))
+        use_cache(&mut lock(&self.0.list_cache))
     }
 
     /// Takes the document that is being put together.
     pub(crate) fn take_assembly(&self) -> Option<Assembly> {
-        locked(&self.0.assembly).take()
+        lock(&self.0.assembly).take()
     }
 
     /// Keeps what has arrived of a document for the next transfer.
     pub(crate) fn keep_assembly(&self, assembly: Option<Assembly>) {
-        *locked(&self.0.assembly) = assembly;
+        *lock(&self.0.assembly) = assembly;
     }
 
     /// Drops what has arrived of `version` or an older one, which is of no use once that is in force.
     pub(crate) fn drop_assembly(&self, version: u64) {
-        let mut assembly = locked(&self.0.assembly);
+        let mut assembly = lock(&self.0.assembly);
         *assembly = assembly
             .take()
             .filter(|assembly| assembly.manifest().version > version);
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rolling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::event::EventCode;
 use crate::gateway::directory::Directory;
 use crate::gateway::directory::Upstream;
@@ -51,7 +51,7 @@
         &self,
         use_evidences: impl FnOnce(&mut EvidenceBoard) -> T,
     ) -> T {
-        use_evidences(&mut locked(&self.0.evidences))
+        use_evidences(&mut lock(&self.0.evidences))
     }
 
     /// What this host knows of roll-outs, for others.
--- a/src/gateway/shared/suspicion.rs
+++ b/src/gateway/shared/suspicion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::clock::Time;
 use crate::event::EventCode;
 use crate::fingerprint::Fingerprint;
@@ -26,7 +26,7 @@
 impl Shared {
     /// Runs `use_suspects` on what is known of requests under which upstreams crashed.
     pub(crate) fn suspects<T>(&self, use_suspects: impl FnOnce(&mut Suspects) -> T) -> T {
-        use_suspects(&mut locked(&self.0.suspects))
+        use_suspects(&mut lock(&self.0.suspects))
     }
 
     /// The refusal of a request that is held back; none for one that may be sent, also as the trial of
--- a/src/gateway/shared/waking.rs
+++ b/src/gateway/shared/waking.rs
@@ -5,7 +5,7 @@
 use tokio::sync::watch;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::clock::SystemClock;
 use crate::clock::Time;
 use crate::event::EventCode;
@@ -27,12 +27,12 @@
     /// that are under way are given up, and whoever waits for something looks at the time anew.
     pub(crate) fn check_suspension(&self) {
         let clock = self.clock();
-        let look = |steady| locked(&self.0.wakefulness).look(clock.now(), steady);
+        let look = |steady| lock(&self.0.wakefulness).look(clock.now(), steady);
         let Some(suspended) = look(clock.steady()) else {
             return;
         };
         let now = self.now();
-        locked(&self.0.reading).all_lost(now);
+        lock(&self.0.reading).all_lost(now);
         telemetry::count(Metric::SuspensionsTotal);
         let line = self.log().line(EventCode::HostSuspended);
         line.with("suspended_ms", suspended.as_millis() as u64)
@@ -46,7 +46,7 @@
     /// Whether the host has woken and neither read the log since nor heard a host that does.
     pub(crate) fn is_resuming(&self) -> bool {
         let now = self.now();
-        let Some(woken_at) = locked(&self.0.wakefulness).woken_at(now) else {
+        let Some(woken_at) = lock(&self.0.wakefulness).woken_at(now) else {
             return false;
         };
         let topics = [Topic::Operator, Topic::Upstreams];
@@ -76,7 +76,7 @@
 
     /// How long the last suspension was; zero if there was none.
     pub(crate) fn last_suspension(&self) -> Duration {
-        locked(&self.0.wakefulness).last_suspension()
+        lock(&self.0.wakefulness).last_suspension()
     }
 
     /// Wakes with the host.
