--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -50,24 +50,24 @@
 use crate::gateway::wakefulness::Wakefulness;
 use crate::id::ServiceId;
 
+mod activeconfig;
+mod catchup;
 mod changes;
-mod coldness;
-mod evacuating;
-mod farloads;
+mod cold;
+mod evacuations;
 mod health;
-mod inforce;
 mod logera;
-mod logreading;
-mod newer;
-mod rolling;
-mod suspicion;
-mod waking;
+mod logreads;
+mod remoteloads;
+mod rollouts;
+mod suspects;
+mod suspension;
 
+pub use self::activeconfig::ActiveConfig;
 pub(crate) use self::changes::ChangeSource;
-pub use self::inforce::ActiveConfig;
 pub(crate) use self::logera::StaleAnswer;
-pub(crate) use self::rolling::Freshness;
-pub(crate) use self::rolling::OpenRollout;
+pub(crate) use self::rollouts::Freshness;
+pub(crate) use self::rollouts::OpenRollout;
 
 /// Shared state of a host; clones are handles.
 #[derive(Debug, Clone)]
@@ -81,33 +81,33 @@
     log: DecisionLog,
     gate: Arc<Gate>,
     loads: LoadBoard,
-    words: watch::Sender<u64>,
-    asks: watch::Sender<u64>,
+    load_reports: watch::Sender<u64>,
+    load_queries: watch::Sender<u64>,
     turns: TurnBoard,
-    lines: LineBoard,
-    in_force: RwLock<Option<ActiveConfig>>,
+    queues: LineBoard,
+    active_config: RwLock<Option<ActiveConfig>>,
     directory: Mutex<Directory>,
     directory_changed: watch::Sender<u64>,
-    hearsay: Mutex<Hearsay>,
+    relayed_changes: Mutex<Hearsay>,
     peers: Mutex<Peers>,
     ejector: Mutex<Ejector<InstanceId>>,
-    reach: Mutex<Reach>,
+    reachability: Mutex<Reach>,
     reported_loads: Mutex<ReportedLoads>,
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
-    evidences: Mutex<EvidenceBoard>,
-    wakefulness: Mutex<Wakefulness>,
-    wakes: watch::Sender<u64>,
+    evidence: Mutex<EvidenceBoard>,
+    suspension: Mutex<Wakefulness>,
+    wakeups: watch::Sender<u64>,
     log_era: Mutex<Era>,
     /// The history of the log in which it last told an era that can't be read.
-    bad_era_in: Mutex<Option<Era>>,
-    budgets: Mutex<HashMap<ServiceId, SharedRetryBudget>>,
-    reading: Mutex<ReadingBoard>,
-    news: watch::Sender<u64>,
-    changes_read: watch::Sender<u64>,
-    stops_at: OnceLock<Instant>,
-    seeds: Mutex<Seeds>,
-    cut_off: Mutex<CutOff>,
+    bad_era_logged_in: Mutex<Option<Era>>,
+    retry_budgets: Mutex<HashMap<ServiceId, SharedRetryBudget>>,
+    log_reads: Mutex<ReadingBoard>,
+    announcements: watch::Sender<u64>,
+    read_changes: watch::Sender<u64>,
+    shutdown_deadline: OnceLock<Instant>,
+    seed_state: Mutex<Seeds>,
+    partition: Mutex<CutOff>,
     config_version: AtomicU64,
     catch_up: Mutex<CatchUp>,
     assembly: Mutex<Option<Assembly>>,
@@ -137,32 +137,32 @@
             log,
             gate: Gate::new(),
             loads: LoadBoard::default(),
-            words: watch::channel(0).0,
-            asks: watch::channel(0).0,
+            load_reports: watch::channel(0).0,
+            load_queries: watch::channel(0).0,
             turns: TurnBoard::default(),
-            lines: LineBoard::default(),
-            in_force: RwLock::new(None),
+            queues: LineBoard::default(),
+            active_config: RwLock::new(None),
             directory: Mutex::default(),
             directory_changed: watch::channel(0).0,
-            hearsay: Mutex::default(),
+            relayed_changes: Mutex::default(),
             peers: Mutex::new(peers),
             ejector: Mutex::new(Ejector::new(Default::default())),
-            reach: Mutex::default(),
+            reachability: Mutex::default(),
             reported_loads: Mutex::default(),
             cold_budget: Mutex::default(),
             suspects: Mutex::default(),
-            evidences: Mutex::default(),
-            wakefulness: Mutex::default(),
-            wakes: watch::channel(0).0,
+            evidence: Mutex::default(),
+            suspension: Mutex::default(),
+            wakeups: watch::channel(0).0,
             log_era: Mutex::default(),
-            bad_era_in: Mutex::default(),
-            budgets: Mutex::default(),
-            reading: Mutex::default(),
-            news: watch::channel(0).0,
-            changes_read: watch::channel(0).0,
-            stops_at: OnceLock::new(),
-            seeds: Mutex::new(Seeds::Unknown),
-            cut_off: Mutex::default(),
+            bad_era_logged_in: Mutex::default(),
+            retry_budgets: Mutex::default(),
+            log_reads: Mutex::default(),
+            announcements: watch::channel(0).0,
+            read_changes: watch::channel(0).0,
+            shutdown_deadline: OnceLock::new(),
+            seed_state: Mutex::new(Seeds::Unknown),
+            partition: Mutex::default(),
             config_version: AtomicU64::new(0),
             catch_up: Mutex::new(CatchUp::new(rand::random())),
             assembly: Mutex::default(),
@@ -204,7 +204,7 @@
 
     /// Generations that wait for room, and the pace of engines.
     pub(crate) fn queues(&self) -> &LineBoard {
-        &self.0.lines
+        &self.0.queues
     }
 
     /// Whose turn it is to move runs off leaving engines.
@@ -224,24 +224,24 @@
 
     /// Wakes when peers should be told something at once.
     pub fn watch_announcements(&self) -> watch::Receiver<u64> {
-        self.0.news.subscribe()
+        self.0.announcements.subscribe()
     }
 
     /// Has the next datagram go out at once.
     pub fn announce_now(&self) {
-        self.0.news.send_modify(|count| *count += 1);
+        self.0.announcements.send_modify(|count| *count += 1);
     }
 
     /// The host is stopping; what runs then is cut at `stops_at`.
     pub fn begin_shutdown(&self, stops_at: Instant) {
-        self.0.stops_at.get_or_init(|| stops_at);
+        self.0.shutdown_deadline.get_or_init(|| stops_at);
         self.gate().shut();
         self.announce_now();
     }
 
     /// Time until what runs is cut, if the host is stopping.
     pub fn shutdown_time_left(&self) -> Option<Duration> {
-        let stops_at = self.0.stops_at.get()?;
+        let stops_at = self.0.shutdown_deadline.get()?;
         Some(stops_at.saturating_duration_since(Instant::now()))
     }
 
@@ -266,12 +266,12 @@
 
     /// Whether the seeds could be connected to when the host started.
     pub(crate) fn seed_state(&self) -> Seeds {
-        *lock(&self.0.seeds)
+        *lock(&self.0.seed_state)
     }
 
     /// The seeds were tried.
     pub(crate) fn set_seed_state(&self, seeds: Seeds) {
-        *lock(&self.0.seeds) = seeds;
+        *lock(&self.0.seed_state) = seeds;
     }
 
     /// Live hosts, this one among them.
@@ -321,7 +321,7 @@
         service: &ServiceId,
         use_budget: impl FnOnce(&mut SharedRetryBudget) -> T,
     ) -> T {
-        let mut budgets = lock(&self.0.budgets);
+        let mut budgets = lock(&self.0.retry_budgets);
         if !budgets.contains_key(service) {
             let budget = SharedRetryBudget::new(self.settings().retries, rand::random());
             budgets.insert(service.clone(), budget);
--- a/src/gateway/shared/inforce.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -46,13 +46,13 @@
 impl Shared {
     /// The configuration in force.
     pub fn active_config(&self) -> Option<ActiveConfig> {
-        let in_force = self.0.in_force.read();
+        let in_force = self.0.active_config.read();
         in_force.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// The configuration in force, without its document.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
-        let in_force = self.0.in_force.read();
+        let in_force = self.0.active_config.read();
         let in_force = in_force.unwrap_or_else(PoisonError::into_inner);
         in_force.as_ref().map(|held| held.configuration.clone())
     }
@@ -125,7 +125,7 @@
     ) {
         let version = configuration.version;
         {
-            let in_force = self.0.in_force.write();
+            let in_force = self.0.active_config.write();
             let mut in_force = in_force.unwrap_or_else(PoisonError::into_inner);
             let current = in_force.as_ref().map(|held| held.configuration.version);
             if current.is_some_and(|current| current >= version) {
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -28,13 +28,13 @@
         for applied in changes {
             if let Some(ended) = &applied.ended {
                 lock(&self.0.ejector).forget(ended);
-                lock(&self.0.reach).forget(ended);
+                lock(&self.0.reachability).forget(ended);
             }
             match told_by {
                 ChangeSource::Local(source) => self.log_change(&applied, source),
                 ChangeSource::Peer(host) => {
                     let now = self.now();
-                    lock(&self.0.hearsay).note(now, host, &applied.id, applied.change);
+                    lock(&self.0.relayed_changes).note(now, host, &applied.id, applied.change);
                 }
             }
         }
@@ -42,7 +42,7 @@
         // Those that only listen have nothing to tell that the others don't hear themselves: with a round
         // of each at each change 295 hosts sent 286 datagrams a second each.
         if self.is_reading(Topic::Upstreams) {
-            self.0.changes_read.send_modify(|count| *count += 1);
+            self.0.read_changes.send_modify(|count| *count += 1);
         }
     }
 
@@ -76,7 +76,7 @@
     /// Writes what was heard of upstreams, if it is time to.
     pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
-        let Some(gathered) = lock(&self.0.hearsay).take_due(now) else {
+        let Some(gathered) = lock(&self.0.relayed_changes).take_due(now) else {
             return;
         };
         let first: Vec<&str> = gathered.first.iter().map(InstanceId::as_str).collect();
@@ -109,7 +109,7 @@
 
     /// Wakes at changes of the directory that this host has read for others.
     pub(crate) fn watch_read_changes(&self) -> watch::Receiver<u64> {
-        self.0.changes_read.subscribe()
+        self.0.read_changes.subscribe()
     }
 
     /// Wakes at each change of the directory.
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -26,7 +26,7 @@
     /// A connection to an upstream could not be established.
     pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
-        if lock(&self.0.reach).failed(now, upstream) {
+        if lock(&self.0.reachability).failed(now, upstream) {
             let line = self.log().line(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
@@ -39,7 +39,7 @@
     pub fn receive_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
-            if lock(&self.0.reach).hear(now, upstream) {
+            if lock(&self.0.reachability).hear(now, upstream) {
                 let line = self.log().line(EventCode::UpstreamLost);
                 line.with("upstream", upstream.as_str())
                     .with("source", peer.as_str())
@@ -50,7 +50,7 @@
 
     /// What this host itself can't connect to now.
     pub fn unreachable_upstreams(&self) -> Vec<InstanceId> {
-        lock(&self.0.reach).first_hand(self.now())
+        lock(&self.0.reachability).first_hand(self.now())
     }
 
     /// An upstream may say what it holds.
@@ -78,7 +78,7 @@
 
     /// A connection to an upstream was established.
     pub fn record_reached(&self, upstream: &InstanceId) {
-        if lock(&self.0.reach).reached(self.now(), upstream) {
+        if lock(&self.0.reachability).reached(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
                 .with("change", "reached")
@@ -104,12 +104,12 @@
 
     /// Whether connections to an upstream could not be established a moment ago.
     pub(crate) fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
-        lock(&self.0.reach).is_passed_over(now, upstream)
+        lock(&self.0.reachability).is_passed_over(now, upstream)
     }
 
     /// Whether this host is cut off from all upstreams of a service that others can reach.
     pub fn is_partitioned(&self) -> bool {
-        lock(&self.0.cut_off).is_cut_off()
+        lock(&self.0.partition).is_cut_off()
     }
 
     /// Looks whether a cut keeps this host from a service, or has ended.
@@ -117,7 +117,7 @@
         let now = self.now();
         let silence = self.peers(|peers| peers.silence_outside(now));
         let lost = || self.unreachable_service(now);
-        let Some(change) = lock(&self.0.cut_off).look(silence, lost) else {
+        let Some(change) = lock(&self.0.partition).look(silence, lost) else {
             return;
         };
         let (code, service) = match &change {
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -72,7 +72,7 @@
     fn log_bad_era(&self) {
         telemetry::count(Metric::BadErasTotal);
         let known = self.log_era();
-        if lock(&self.0.bad_era_in).replace(known) == Some(known) {
+        if lock(&self.0.bad_era_logged_in).replace(known) == Some(known) {
             return;
         }
         let line = self.log().line(EventCode::RecordSkipped);
--- a/src/gateway/shared/logreading.rs
+++ b/src/gateway/shared/logreads.rs
@@ -13,7 +13,7 @@
 impl Shared {
     /// Whether this host's last read of a topic came to nothing.
     pub fn is_log_unreachable(&self, topic: Topic) -> bool {
-        lock(&self.0.reading).is_lost(topic)
+        lock(&self.0.log_reads).is_lost(topic)
     }
 
     /// Whether this host shall follow a topic of the log.
@@ -34,7 +34,7 @@
     pub fn is_reading(&self, topic: Topic) -> bool {
         let now = self.now();
         let wait = self.poll_wait();
-        lock(&self.0.reading).is_answered(now, topic, wait) && self.is_reader(topic)
+        lock(&self.0.log_reads).is_answered(now, topic, wait) && self.is_reader(topic)
     }
 
     /// What this host reads of the log, for its peers.
@@ -114,13 +114,13 @@
 
     /// How long after its wait the answer to a read of a topic may come.
     pub(crate) fn answer_slack(&self, topic: Topic) -> Duration {
-        lock(&self.0.reading).answer_slack(topic)
+        lock(&self.0.log_reads).answer_slack(topic)
     }
 
     /// The log answered a read of a topic, `delay` after the wait that was asked for.
     pub(crate) fn record_log_answer(&self, topic: Topic, delay: Duration) {
         let now = self.now();
-        let Some(away) = lock(&self.0.reading).answered(now, topic, delay) else {
+        let Some(away) = lock(&self.0.log_reads).answered(now, topic, delay) else {
             return;
         };
         if topic == Topic::Upstreams {
@@ -136,14 +136,14 @@
 
     /// More of the log's answer to a read of a topic has arrived.
     pub(crate) fn record_log_progress(&self, topic: Topic) {
-        lock(&self.0.reading).progressed(self.now(), topic);
+        lock(&self.0.log_reads).progressed(self.now(), topic);
     }
 
     /// A read of a topic that took `waited` came to nothing.
     pub(crate) fn record_log_failure(&self, topic: Topic, waited: Duration, reason: &str) {
         let now = self.now();
         let (is_news, age) = {
-            let mut reading = lock(&self.0.reading);
+            let mut reading = lock(&self.0.log_reads);
             (reading.failed(now, topic), reading.age(now, topic))
         };
         if !is_news {
@@ -165,6 +165,6 @@
 
     /// Time since the log last answered a read of a topic.
     pub(crate) fn log_age(&self, topic: Topic) -> Option<Duration> {
-        lock(&self.0.reading).age(self.now(), topic)
+        lock(&self.0.log_reads).age(self.now(), topic)
     }
 }
--- a/src/gateway/shared/farloads.rs
+++ b/src/gateway/shared/remoteloads.rs
@@ -62,19 +62,19 @@
     /// Asks the other data centres what runs at their upstreams, if their words are old, and waits a moment for an
     /// answer.
     pub(crate) async fn query_remote_loads(&self) {
-        let mut words = self.0.words.subscribe();
-        self.0.asks.send_modify(|count| *count += 1);
+        let mut words = self.0.load_reports.subscribe();
+        self.0.load_queries.send_modify(|count| *count += 1);
         // No answer by then is as good as an old word.
         let _ = tokio::time::timeout(ANSWER_WAIT, words.changed()).await;
     }
 
     /// Wakes when this host is to ask.
     pub(crate) fn watch_load_queries(&self) -> watch::Receiver<u64> {
-        self.0.asks.subscribe()
+        self.0.load_queries.subscribe()
     }
 
     /// Another data centre's word has arrived.
     pub(crate) fn notify_load_report(&self) {
-        self.0.words.send_modify(|count| *count += 1);
+        self.0.load_reports.send_modify(|count| *count += 1);
     }
 }
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -51,7 +51,7 @@
         &self,
         use_evidences: impl FnOnce(&mut EvidenceBoard) -> T,
     ) -> T {
-        use_evidences(&mut lock(&self.0.evidences))
+        use_evidences(&mut lock(&self.0.evidence))
     }
 
     /// What this host knows of roll-outs, for others.
--- a/src/gateway/shared/waking.rs
+++ b/src/gateway/shared/suspension.rs
@@ -27,18 +27,18 @@
     /// that are under way are given up, and whoever waits for something looks at the time anew.
     pub(crate) fn check_suspension(&self) {
         let clock = self.clock();
-        let look = |steady| lock(&self.0.wakefulness).look(clock.now(), steady);
+        let look = |steady| lock(&self.0.suspension).look(clock.now(), steady);
         let Some(suspended) = look(clock.steady()) else {
             return;
         };
         let now = self.now();
-        lock(&self.0.reading).all_lost(now);
+        lock(&self.0.log_reads).all_lost(now);
         telemetry::count(Metric::SuspensionsTotal);
         let line = self.log().line(EventCode::HostSuspended);
         line.with("suspended_ms", suspended.as_millis() as u64)
             .with("in_flight", self.gate().in_flight())
             .write();
-        self.0.wakes.send_modify(|count| *count += 1);
+        self.0.wakeups.send_modify(|count| *count += 1);
         self.0.directory_changed.send_modify(|count| *count += 1);
         self.announce_now();
     }
@@ -46,7 +46,7 @@
     /// Whether the host has woken and neither read the log since nor heard a host that does.
     pub(crate) fn is_resuming(&self) -> bool {
         let now = self.now();
-        let Some(woken_at) = lock(&self.0.wakefulness).woken_at(now) else {
+        let Some(woken_at) = lock(&self.0.suspension).woken_at(now) else {
             return false;
         };
         let topics = [Topic::Operator, Topic::Upstreams];
@@ -76,12 +76,12 @@
 
     /// How long the last suspension was; zero if there was none.
     pub(crate) fn last_suspension(&self) -> Duration {
-        lock(&self.0.wakefulness).last_suspension()
+        lock(&self.0.suspension).last_suspension()
     }
 
     /// Wakes with the host.
     pub(crate) fn watch_wakeups(&self) -> watch::Receiver<u64> {
-        self.0.wakes.subscribe()
+        self.0.wakeups.subscribe()
     }
 
     /// Returns when the host wakes from a suspension in which `deadline` passed; timers don't count that time.
