--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -191,7 +191,7 @@
         Some(Ordering::Less) => false,
         // A host that saw the order come knows that it has not ended until somebody says so of it.
         None => {
-            let may_have_ended = !rollout.is_dated || has_begun || rollout.age > BEGUN_WITHIN;
+            let may_have_ended = !rollout.has_order_time || has_begun || rollout.age > BEGUN_WITHIN;
             told.to == rollout.to && (told.state == RolloutState::Running || may_have_ended)
         }
     };
--- a/src/gateway/rolloutstatus/tests.rs
+++ b/src/gateway/rolloutstatus/tests.rs
@@ -21,7 +21,7 @@
         service: ServiceId::new("nets"),
         ordered_at: at(1, 5),
         to: VersionId::new("v2"),
-        is_dated: true,
+        has_order_time: true,
         age: Duration::from_millis(700),
         due: Due::Nothing,
     }
@@ -74,7 +74,7 @@
 fn positions_of_another_history_of_the_log_say_nothing() {
     let told = status(RolloutState::Reverted, Some(at(2, 3)));
     let undated = OpenRollout {
-        is_dated: false,
+        has_order_time: false,
         ..order()
     };
 
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -232,17 +232,17 @@
         self.0.announcements.send_modify(|count| *count += 1);
     }
 
-    /// The host is stopping; what runs then is cut at `stops_at`.
-    pub fn begin_shutdown(&self, stops_at: Instant) {
-        self.0.shutdown_deadline.get_or_init(|| stops_at);
+    /// The host is stopping; what runs then is cut at `deadline`.
+    pub fn begin_shutdown(&self, deadline: Instant) {
+        self.0.shutdown_deadline.get_or_init(|| deadline);
         self.gate().shut();
         self.announce_now();
     }
 
     /// Time until what runs is cut, if the host is stopping.
     pub fn shutdown_time_left(&self) -> Option<Duration> {
-        let stops_at = self.0.shutdown_deadline.get()?;
-        Some(stops_at.saturating_duration_since(Instant::now()))
+        let deadline = self.0.shutdown_deadline.get()?;
+        Some(deadline.saturating_duration_since(Instant::now()))
     }
 
     /// Whether the host can serve requests better than others.
--- a/src/gateway/shared/activeconfig.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -20,17 +20,17 @@
 pub struct ActiveConfig {
     /// What is in force.
     pub configuration: Arc<Configuration>,
-    source: Arc<Source>,
+    source: Arc<SourceRecord>,
 }
 
 /// The record that a configuration was read from.
 #[derive(Debug)]
-struct Source {
+struct SourceRecord {
     key: String,
     version: u64,
     document: Bytes,
     /// Cut when the first peer asks: hosts that read the log for themselves need no pieces.
-    cut: OnceLock<CutDocument>,
+    pieces: OnceLock<CutDocument>,
 }
 
 impl ActiveConfig {
@@ -38,7 +38,7 @@
     pub fn pieces(&self) -> &CutDocument {
         let source = &self.source;
         source
-            .cut
+            .pieces
             .get_or_init(|| CutDocument::cut(&source.key, source.version, source.document.clone()))
     }
 }
@@ -54,7 +54,7 @@
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         let in_force = self.0.active_config.read();
         let in_force = in_force.unwrap_or_else(PoisonError::into_inner);
-        in_force.as_ref().map(|held| held.configuration.clone())
+        in_force.as_ref().map(|active| active.configuration.clone())
     }
 
     /// The version in force; 0 while there is none.
@@ -79,16 +79,22 @@
     /// # Errors
     ///
     /// What is wrong with it.
-    pub(crate) async fn offer_pieces(&self, cut: CutDocument, source: &str) -> Result<()> {
-        let key = cut.manifest().key.clone();
-        let document = cut.document().clone();
-        let told = cut.manifest().version;
+    pub(crate) async fn offer_pieces(&self, pieces: CutDocument, source: &str) -> Result<()> {
+        let key = pieces.manifest().key.clone();
+        let document = pieces.document().clone();
+        let announced = pieces.manifest().version;
         let configuration = match self.decode(&key, &document).await? {
-            Some(configuration) if configuration.version == told => configuration,
-            Some(_) => return Err(Error::Document(format!("it is not version {told}"))),
+            Some(configuration) if configuration.version == announced => configuration,
+            Some(_) => return Err(Error::Document(format!("it is not version {announced}"))),
             None => return Err(Error::Document(format!("{key} names no configuration"))),
         };
-        self.activate(configuration, &key, &document, OnceLock::from(cut), source);
+        self.activate(
+            configuration,
+            &key,
+            &document,
+            OnceLock::from(pieces),
+            source,
+        );
         Ok(())
     }
 
@@ -120,22 +126,22 @@
         configuration: Configuration,
         key: &str,
         document: &Bytes,
-        cut: OnceLock<CutDocument>,
+        pieces: OnceLock<CutDocument>,
         source: &str,
     ) {
         let version = configuration.version;
         {
             let in_force = self.0.active_config.write();
             let mut in_force = in_force.unwrap_or_else(PoisonError::into_inner);
-            let current = in_force.as_ref().map(|held| held.configuration.version);
+            let current = in_force.as_ref().map(|active| active.configuration.version);
             if current.is_some_and(|current| current >= version) {
                 return;
             }
-            let source = Source {
+            let source = SourceRecord {
                 key: key.to_owned(),
                 version,
                 document: document.clone(),
-                cut,
+                pieces,
             };
             *in_force = Some(ActiveConfig {
                 configuration: Arc::new(configuration),
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -21,7 +21,7 @@
 
 impl Shared {
     /// Records changes of the directory and wakes whom they concern.
-    pub(crate) fn record_changes(&self, changes: Vec<Applied>, told_by: ChangeSource<'_>) {
+    pub(crate) fn record_changes(&self, changes: Vec<Applied>, source: ChangeSource<'_>) {
         if changes.is_empty() {
             return;
         }
@@ -30,7 +30,7 @@
                 lock(&self.0.ejector).forget(ended);
                 lock(&self.0.reachability).forget(ended);
             }
-            match told_by {
+            match source {
                 ChangeSource::Local(source) => self.log_change(&applied, source),
                 ChangeSource::Peer(host) => {
                     let now = self.now();
@@ -76,18 +76,18 @@
     /// Writes what was heard of upstreams, if it is time to.
     pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
-        let Some(gathered) = lock(&self.0.relayed_changes).take_due(now) else {
+        let Some(relayed) = lock(&self.0.relayed_changes).take_due(now) else {
             return;
         };
-        let first: Vec<&str> = gathered.first.iter().map(InstanceId::as_str).collect();
+        let first: Vec<&str> = relayed.first.iter().map(InstanceId::as_str).collect();
         let position = self.directory(|directory| directory.position());
         let mut line = self.log().line(EventCode::UpstreamsChanged);
-        for (change, count) in &gathered.counts {
+        for (change, count) in &relayed.counts {
             line = line.with(change, *count);
         }
         line.with("first", first.join(" "))
             .with("position", position.to_string())
-            .with("source", gathered.host)
+            .with("source", relayed.host)
             .write();
     }
 
--- a/src/gateway/shared/evacuations.rs
+++ b/src/gateway/shared/evacuations.rs
@@ -42,9 +42,9 @@
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn receive_evacuations(&self, told: &ToldEvacuations, source: &str) {
+    pub(crate) fn receive_evacuations(&self, announced: &ToldEvacuations, source: &str) {
         let now = self.now();
-        let changes = self.directory(|directory| directory.evacuations_mut().hear(now, told));
+        let changes = self.directory(|directory| directory.evacuations_mut().hear(now, announced));
         self.report_evacuations(&changes, source);
     }
 
@@ -67,11 +67,11 @@
         decoded.collect()
     }
 
-    pub(super) fn log_bad_record(&self, key: &str, flaw: &str) {
+    pub(super) fn log_bad_record(&self, key: &str, reason: &str) {
         let line = self.log().line(EventCode::RecordSkipped);
         line.with("source", "log")
             .with("key", key)
-            .with("reason", flaw)
+            .with("reason", reason)
             .write();
     }
 
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -53,13 +53,13 @@
         if era <= known {
             return;
         }
-        let is_return = known != Era::default();
+        let is_restore = known != Era::default();
         let line = self.log().line(EventCode::LogReturned);
         line.with("era", era.number())
             .with("known", known.number())
             .with("source", source)
             .write();
-        if is_return {
+        if is_restore {
             let now = self.now();
             self.directory(|directory| directory.log_returned(now));
             self.suspects(|suspects| suspects.write_again());
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -120,7 +120,7 @@
     /// The log answered a read of a topic, `delay` after the wait that was asked for.
     pub(crate) fn record_log_answer(&self, topic: Topic, delay: Duration) {
         let now = self.now();
-        let Some(away) = lock(&self.0.log_reads).answered(now, topic, delay) else {
+        let Some(outage) = lock(&self.0.log_reads).answered(now, topic, delay) else {
             return;
         };
         if topic == Topic::Upstreams {
@@ -128,7 +128,7 @@
         }
         let line = self.log().line(EventCode::ConfigLogReachable);
         line.with("topic", topic.name())
-            .with("away_ms", away.as_millis() as u64)
+            .with("away_ms", outage.as_millis() as u64)
             .with("version", self.config_version())
             .write();
         self.announce_now();
@@ -142,11 +142,11 @@
     /// A read of a topic that took `waited` came to nothing.
     pub(crate) fn record_log_failure(&self, topic: Topic, waited: Duration, reason: &str) {
         let now = self.now();
-        let (is_news, age) = {
+        let (was_reachable, age) = {
             let mut reading = lock(&self.0.log_reads);
             (reading.failed(now, topic), reading.age(now, topic))
         };
-        if !is_news {
+        if !was_reachable {
             return;
         }
         if topic == Topic::Upstreams {
--- a/src/gateway/shared/remoteloads.rs
+++ b/src/gateway/shared/remoteloads.rs
@@ -13,12 +13,12 @@
 use crate::id::DataCentre;
 
 /// A word of a data centre that is younger is as good as a new one.
-const FRESH: Duration = Duration::from_millis(100);
+const REPORT_FRESH_FOR: Duration = Duration::from_millis(100);
 /// An answer comes within this time: two round trips of the farthest data centre, and a host that has no processor
 /// time at first.
-const ANSWER_WAIT: Duration = Duration::from_millis(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
 /// Data centres that are asked at once, so that the cost of a host doesn't grow with their number.
-const ASKED_MAX: usize = 3;
+const QUERIES_MAX: usize = 3;
 
 impl Shared {
     /// What runs at the upstreams of this data centre, but for what hosts of `receiver` run there.
@@ -34,12 +34,12 @@
     /// What this host runs in other data centres.
     pub(crate) fn own_remote_loads(&self) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
         let here = &self.settings().data_centre;
-        let mut visits = self.directory(|directory| {
+        let mut remote = self.directory(|directory| {
             self.loads()
                 .with(|loads| loads.own_by_place(|id| Some(directory.get(id)?.data_centre.clone())))
         });
-        visits.remove(here);
-        visits
+        remote.remove(here);
+        remote
     }
 
     /// Other data centres whose last word is not fresh, a few of them.
@@ -51,21 +51,21 @@
         self.loads().with(|loads| {
             data_centres.retain(|data_centre| {
                 let age = loads.word_age(now, data_centre);
-                age.is_none_or(|age| age > FRESH)
+                age.is_none_or(|age| age > REPORT_FRESH_FOR)
             });
         });
         data_centres.shuffle(&mut rand::rng());
-        data_centres.truncate(ASKED_MAX);
+        data_centres.truncate(QUERIES_MAX);
         data_centres
     }
 
-    /// Asks the other data centres what runs at their upstreams, if their words are old, and waits a moment for an
+    /// Asks the other data centres what runs at their upstreams, if their reports are old, and waits a moment for an
     /// answer.
     pub(crate) async fn query_remote_loads(&self) {
-        let mut words = self.0.load_reports.subscribe();
+        let mut reports = self.0.load_reports.subscribe();
         self.0.load_queries.send_modify(|count| *count += 1);
         // No answer by then is as good as an old word.
-        let _ = tokio::time::timeout(ANSWER_WAIT, words.changed()).await;
+        let _ = tokio::time::timeout(ANSWER_TIMEOUT, reports.changed()).await;
     }
 
     /// Wakes when this host is to ask.
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -40,18 +40,18 @@
     pub(crate) service: ServiceId,
     pub(crate) ordered_at: Position,
     pub(crate) to: VersionId,
-    pub(crate) is_dated: bool,
+    pub(crate) has_order_time: bool,
     pub(crate) age: Duration,
     pub(crate) due: Due,
 }
 
 impl Shared {
-    /// Runs `use_evidences` on what was seen of versions that are tried.
+    /// Runs `use_evidence` on what was seen of versions that are tried.
     pub(crate) fn rollout_evidence<T>(
         &self,
-        use_evidences: impl FnOnce(&mut EvidenceBoard) -> T,
+        use_evidence: impl FnOnce(&mut EvidenceBoard) -> T,
     ) -> T {
-        use_evidences(&mut lock(&self.0.evidence))
+        use_evidence(&mut lock(&self.0.evidence))
     }
 
     /// What this host knows of roll-outs, for others.
@@ -84,12 +84,12 @@
     }
 
     /// Another host tells what it knows.
-    pub(crate) fn receive_rollouts(&self, told: &[ToldRollout], source: &str) {
-        if told.is_empty() {
+    pub(crate) fn receive_rollouts(&self, announced: &[ToldRollout], source: &str) {
+        if announced.is_empty() {
             return;
         }
         let now = self.now();
-        let changes = self.directory(|directory| directory.rollouts_mut().hear(now, told));
+        let changes = self.directory(|directory| directory.rollouts_mut().hear(now, announced));
         self.report_rollouts(&changes, source, None);
     }
 
@@ -134,7 +134,7 @@
             return Track::Proved;
         };
         let now = self.now();
-        self.rollout_evidence(|evidences| evidences.requested(now, order));
+        self.rollout_evidence(|evidence| evidence.requested(now, order));
         let share = TrialShare {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
@@ -173,7 +173,7 @@
             outcome,
         };
         let now = self.now();
-        self.rollout_evidence(|evidences| evidences.answered(now, order, &answer));
+        self.rollout_evidence(|evidence| evidence.answered(now, order, &answer));
     }
 
     /// The orders whose end operators wait for, and what is due of each.
@@ -183,14 +183,14 @@
         self.directory(|directory| {
             let open = directory.rollouts().open().map(|rollout| {
                 let order = rollout.ordered_at();
-                let evidence = self.rollout_evidence(|evidences| evidences.all(now, order));
+                let evidence = self.rollout_evidence(|evidence| evidence.all(now, order));
                 let new = directory.count_of_version(rollout.service(), rollout.to());
                 let judgement = evidence.judge(new);
                 OpenRollout {
                     service: rollout.service().clone(),
                     ordered_at: order,
                     to: rollout.to().clone(),
-                    is_dated: rollout.is_dated(),
+                    has_order_time: rollout.is_dated(),
                     age: rollout.age(now),
                     due: rollout.due(now, bound, &evidence, judgement.as_ref(), new),
                 }
@@ -214,7 +214,7 @@
             let open = directory.rollouts().open();
             open.map(|rollout| rollout.ordered_at()).collect()
         });
-        self.rollout_evidence(|evidences| evidences.retain(now, |order| open.contains(&order)));
+        self.rollout_evidence(|evidence| evidence.retain(now, |order| open.contains(&order)));
     }
 
     /// Where this host stands among those that may take an order's next step, so that one does it first.
@@ -226,8 +226,8 @@
 
     /// How long a host of this rank leaves a step to those before it.
     pub(crate) fn rollout_step_delay(&self, service: &ServiceId) -> Duration {
-        const FOR_EACH: Duration = Duration::from_millis(250);
+        const STEP_DELAY_PER_RANK: Duration = Duration::from_millis(250);
         const RANK_MAX: usize = 6;
-        FOR_EACH * u32::try_from(self.rollout_rank(service).min(RANK_MAX)).unwrap_or(0)
+        STEP_DELAY_PER_RANK * u32::try_from(self.rollout_rank(service).min(RANK_MAX)).unwrap_or(0)
     }
 }
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -21,7 +21,7 @@
 
 /// A request whose content is tried by another host may come back after this time: most generations have
 /// ended by then.
-const TRIED_ELSEWHERE: Duration = Duration::from_secs(5);
+const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Shared {
     /// Runs `use_suspects` on what is known of requests under which upstreams crashed.
@@ -38,7 +38,7 @@
         let held_back = match standing.verdict {
             Verdict::Sent => return None,
             Verdict::Tried if self.is_trial(now, admitted) => return None,
-            Verdict::Tried => TRIED_ELSEWHERE,
+            Verdict::Tried => TRIAL_RETRY_AFTER,
             Verdict::HeldBack(left) => left,
         };
         let message = format!(
@@ -58,14 +58,15 @@
         }
         let host = &self.settings().host;
         let fingerprint = admitted.fingerprint;
-        let is_ours = self.peers(|peers| peers.is_chosen(now, host, &fingerprint.to_hex()));
-        let begins = is_ours && self.suspects(|suspects| suspects.begin_trial(now, fingerprint));
-        if begins {
+        let is_chosen = self.peers(|peers| peers.is_chosen(now, host, &fingerprint.to_hex()));
+        let is_begun =
+            is_chosen && self.suspects(|suspects| suspects.begin_trial(now, fingerprint));
+        if is_begun {
             admitted.is_trial.set(true);
             let line = admitted.line(self, EventCode::SuspectTried);
             line.write();
         }
-        begins
+        is_begun
     }
 
     /// The connection to an upstream broke while it ran a request. One that is leaving ends by itself, and a cold
@@ -126,9 +127,9 @@
     }
 
     /// Another host tells of requests under which upstreams crashed.
-    pub(crate) fn receive_suspects(&self, source: &str, told: &[ToldSuspect]) {
+    pub(crate) fn receive_suspects(&self, source: &str, announced: &[ToldSuspect]) {
         let now = self.now();
-        let changed = self.suspects(|suspects| suspects.hear(now, told));
+        let changed = self.suspects(|suspects| suspects.hear(now, announced));
         for (fingerprint, standing) in changed {
             self.log_suspect(fingerprint, standing, source);
         }
--- a/src/gateway/shared/suspension.rs
+++ b/src/gateway/shared/suspension.rs
@@ -15,7 +15,7 @@
 use crate::telemetry::Metric;
 
 /// Datagrams that arrived while the host was suspended are read within this time of its waking.
-const OLD_DATAGRAMS_READ: Duration = Duration::from_millis(50);
+const STALE_DATAGRAM_WINDOW: Duration = Duration::from_millis(50);
 
 impl Shared {
     /// The clock that counts suspensions.
@@ -27,8 +27,8 @@
     /// that are under way are given up, and whoever waits for something looks at the time anew.
     pub(crate) fn check_suspension(&self) {
         let clock = self.clock();
-        let look = |steady| lock(&self.0.suspension).look(clock.now(), steady);
-        let Some(suspended) = look(clock.steady()) else {
+        let check = |steady| lock(&self.0.suspension).look(clock.now(), steady);
+        let Some(suspended) = check(clock.steady()) else {
             return;
         };
         let now = self.now();
@@ -46,31 +46,31 @@
     /// Whether the host has woken and neither read the log since nor heard a host that does.
     pub(crate) fn is_resuming(&self) -> bool {
         let now = self.now();
-        let Some(woken_at) = lock(&self.0.suspension).woken_at(now) else {
+        let Some(resumed_at) = lock(&self.0.suspension).woken_at(now) else {
             return false;
         };
         let topics = [Topic::Operator, Topic::Upstreams];
         !topics
             .iter()
-            .all(|topic| self.is_confirmed(now, *topic, woken_at))
+            .all(|topic| self.is_confirmed(now, *topic, resumed_at))
     }
 
-    fn is_confirmed(&self, now: Time, topic: Topic, woken_at: Time) -> bool {
-        let awake_for = now.since(woken_at);
+    fn is_confirmed(&self, now: Time, topic: Topic, resumed_at: Time) -> bool {
+        let awake_for = now.since(resumed_at);
         let is_read = !self.is_log_unreachable(topic)
             && self.log_age(topic).is_some_and(|age| age < awake_for);
-        let heard_within = awake_for.saturating_sub(OLD_DATAGRAMS_READ);
-        is_read || self.has_caught_up(now, topic, heard_within)
+        let received_within = awake_for.saturating_sub(STALE_DATAGRAM_WINDOW);
+        is_read || self.has_caught_up(now, topic, received_within)
     }
 
     /// Whether a host that reads a topic was heard within this time, and this one lacks nothing that it told.
-    fn has_caught_up(&self, now: Time, topic: Topic, within: Duration) -> bool {
+    fn has_caught_up(&self, now: Time, topic: Topic, window: Duration) -> bool {
         let fetch = match topic {
             Topic::Operator => Fetch::Configuration,
             Topic::Upstreams | Topic::Hosts | Topic::Suspects | Topic::Status => Fetch::Upstreams,
         };
         self.peers(|peers| {
-            peers.heard_reader_within(now, topic, within) && !peers.is_fetching(fetch)
+            peers.heard_reader_within(now, topic, window) && !peers.is_fetching(fetch)
         })
     }
 
