--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -1,5 +1,5 @@
-//! What all parts of a gateway host share: the configuration in force, the upstreams, the peers,
-//! the loads, and the log of decisions.
+//! State shared by all parts of a gateway host: the active configuration, the directory of upstreams,
+//! the peers, the loads and the decision log.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -69,7 +69,7 @@
 pub(crate) use self::rollouts::Freshness;
 pub(crate) use self::rollouts::OpenRollout;
 
-/// Shared state of a host; clones are handles.
+/// Shared state of a host. Cloning it copies a reference to the same state.
 #[derive(Debug, Clone)]
 pub struct Shared(Arc<Inner>);
 
@@ -99,7 +99,7 @@
     suspension: Mutex<Wakefulness>,
     wakeups: watch::Sender<u64>,
     log_era: Mutex<Era>,
-    /// The history of the log in which it last told an era that can't be read.
+    /// The log era in which an unreadable era was last logged, so that it is logged once per era.
     bad_era_logged_in: Mutex<Option<Era>>,
     retry_budgets: Mutex<HashMap<ServiceId, SharedRetryBudget>>,
     log_reads: Mutex<ReadingBoard>,
@@ -121,7 +121,7 @@
 }
 
 impl Shared {
-    /// The state of a host that knows nothing yet.
+    /// Creates the state of a host that has no configuration, upstreams or peers yet.
     pub fn new(
         settings: GatewaySettings,
         protocol: Arc<dyn Protocol>,
@@ -177,129 +177,133 @@
         &self.0.settings
     }
 
-    /// The platform's names and formats.
+    /// The platform's wire names and formats.
     pub fn protocol(&self) -> &dyn Protocol {
         self.0.protocol.as_ref()
     }
 
-    /// Monotonic time.
+    /// Monotonic time since the process started.
     pub fn now(&self) -> Time {
         self.0.clock.now()
     }
 
-    /// The log of decisions.
+    /// The decision log, which this host writes (not the platform's log, which it reads).
     pub fn log(&self) -> &DecisionLog {
         &self.0.log
     }
 
-    /// Readiness and requests in flight.
+    /// The host's shutdown state and its requests in flight.
     pub fn gate(&self) -> &Arc<Gate> {
         &self.0.gate
     }
 
-    /// What runs where.
+    /// The requests that run at each upstream, as known to this host.
     pub fn loads(&self) -> &LoadBoard {
         &self.0.loads
     }
 
-    /// Generations that wait for room, and the pace of engines.
+    /// The queued generations, and the observed speed of engines.
     pub(crate) fn queues(&self) -> &LineBoard {
         &self.0.queues
     }
 
-    /// Whose turn it is to move runs off leaving engines.
+    /// The order in which generations are moved off leaving engines.
     pub fn turns(&self) -> &TurnBoard {
         &self.0.turns
     }
 
-    /// Runs `use_directory` on the upstreams.
+    /// Runs `use_directory` on the locked directory of upstreams.
     pub fn directory<T>(&self, use_directory: impl FnOnce(&mut Directory) -> T) -> T {
         use_directory(&mut lock(&self.0.directory))
     }
 
-    /// Runs `use_peers` on the other hosts.
+    /// Runs `use_peers` on the locked table of other hosts.
     pub fn peers<T>(&self, use_peers: impl FnOnce(&mut Peers) -> T) -> T {
         use_peers(&mut lock(&self.0.peers))
     }
 
-    /// Wakes when peers should be told something at once.
+    /// Notifies when the next datagram to peers should go out at once.
     pub fn watch_announcements(&self) -> watch::Receiver<u64> {
         self.0.announcements.subscribe()
     }
 
-    /// Has the next datagram go out at once.
+    /// Sends the next datagram to peers at once instead of at the end of the interval.
     pub fn announce_now(&self) {
         self.0.announcements.send_modify(|count| *count += 1);
     }
 
-    /// The host is stopping; what runs then is cut at `deadline`.
+    /// Begins the shutdown. Requests that still run at `deadline` are aborted.
     pub fn begin_shutdown(&self, deadline: Instant) {
         self.0.shutdown_deadline.get_or_init(|| deadline);
         self.gate().shut();
         self.announce_now();
     }
 
-    /// Time until what runs is cut, if the host is stopping.
+    /// Time until running requests are aborted, if the host is shutting down.
     pub fn shutdown_time_left(&self) -> Option<Duration> {
         let deadline = self.0.shutdown_deadline.get()?;
         Some(deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Whether the host can serve requests better than others.
+    /// Whether the host reports ready to the load balancer: it is initialized, not shutting down, not
+    /// resuming from a suspension and not partitioned from its upstreams.
     pub fn is_ready(&self) -> bool {
         let is_up_to_date = self.is_initialized() && !self.is_resuming();
         !self.gate().is_shutting_down() && is_up_to_date && !self.is_partitioned()
     }
 
-    /// Whether callers do better with another host, so that their connections are closed after an
-    /// answer.
+    /// Whether client connections are closed after a response, so that clients reconnect to another host.
     pub(crate) fn closes_connections(&self) -> bool {
         self.gate().is_shutting_down() || self.is_partitioned()
     }
 
-    /// Whether the host has a configuration and upstreams, and knows which of them are evacuated.
+    /// Whether the host has a configuration and a list of upstreams, and knows which data centres are
+    /// evacuated.
     pub(crate) fn is_initialized(&self) -> bool {
         let knows_upstreams =
             |directory: &mut Directory| !directory.is_empty() && directory.evacuations().is_known();
         self.configuration().is_some() && self.directory(knows_upstreams)
     }
 
-    /// Whether the seeds could be connected to when the host started.
+    /// Whether the host could connect to a seed when it started.
     pub(crate) fn seed_state(&self) -> Seeds {
         *lock(&self.0.seed_state)
     }
 
-    /// The seeds were tried.
+    /// Records whether the host could connect to a seed.
     pub(crate) fn set_seed_state(&self, seeds: Seeds) {
         *lock(&self.0.seed_state) = seeds;
     }
 
-    /// Live hosts, this one among them.
+    /// Number of live hosts, including this one.
     pub fn live_hosts(&self) -> usize {
         let now = self.now();
         self.peers(|peers| peers.live(now)) + 1
     }
 
-    /// The most hosts that others tell of, or that this one counts; bounded to what a fleet may have.
+    /// Upper estimate of the fleet's size: the largest number of hosts that a peer announces or that this
+    /// host counts, capped at the largest supported fleet.
     pub(crate) fn fleet_size_estimate(&self) -> u32 {
         const HOSTS_MAX: u32 = 4_000;
         let now = self.now();
         self.peers(|peers| peers.told(now)).min(HOSTS_MAX)
     }
 
-    /// Hosts among which bounds of the fleet are divided, this one among them.
+    /// Number of hosts among which fleet-wide limits are divided, including this one.
     pub fn sharing_hosts(&self) -> usize {
         let now = self.now();
         self.peers(|peers| peers.sharing(now))
     }
 
-    /// Whether hosts are so few that each tells all others all, and reads the log for itself.
+    /// Whether the fleet is small enough that each host sends its full state to all others and reads the
+    /// log itself.
     pub(crate) fn is_small_fleet(&self) -> bool {
         let now = self.now();
         self.peers(|peers| peers.is_small(now))
     }
 
-    /// How old the counts of what runs in other data centres are: few hosts tell all of it to all.
+    /// How old the load counts of other data centres are. They are fresh in a small fleet, where each host
+    /// sends its counts to all others.
     pub fn remote_counts(&self) -> FarCounts {
         match self.is_small_fleet() {
             true => FarCounts::Fresh,
@@ -307,7 +311,7 @@
         }
     }
 
-    /// From where upstreams are chosen.
+    /// This host's point of view for choosing upstreams.
     pub fn view(&self) -> View<'_> {
         View {
             here: &self.settings().data_centre,
@@ -315,7 +319,7 @@
         }
     }
 
-    /// Runs `use_budget` on the retry budget of a service.
+    /// Runs `use_budget` on the locked retry budget of a service.
     pub fn retry_budget<T>(
         &self,
         service: &ServiceId,
@@ -332,7 +336,7 @@
         use_budget(budget)
     }
 
-    /// Where this host listens for datagrams.
+    /// The address at which this host receives datagrams.
     pub fn gossip_address(&self) -> SocketAddr {
         self.settings().gossip_address
     }
--- a/src/gateway/shared/activeconfig.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -1,4 +1,4 @@
-//! The configuration that a host has in force: versions only rise.
+//! The active configuration of a host. Its version never decreases.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -15,10 +15,10 @@
 use crate::gateway::document::CutDocument;
 use crate::gateway::document::DOCUMENT_BYTES_MAX;
 
-/// A configuration with the document it was read from, of which peers may fetch pieces.
+/// A configuration together with its source document, which peers may fetch in pieces.
 #[derive(Debug, Clone)]
 pub struct ActiveConfig {
-    /// What is in force.
+    /// The decoded configuration.
     pub configuration: Arc<Configuration>,
     source: Arc<SourceRecord>,
 }
@@ -29,12 +29,12 @@
     key: String,
     version: u64,
     document: Bytes,
-    /// Cut when the first peer asks: hosts that read the log for themselves need no pieces.
+    /// Split when the first peer asks: in a small fleet hosts read the log themselves and need no pieces.
     pieces: OnceLock<CutDocument>,
 }
 
 impl ActiveConfig {
-    /// The document in pieces.
+    /// The document, split into pieces.
     pub fn pieces(&self) -> &CutDocument {
         let source = &self.source;
         source
@@ -44,26 +44,26 @@
 }
 
 impl Shared {
-    /// The configuration in force.
+    /// The active configuration.
     pub fn active_config(&self) -> Option<ActiveConfig> {
         let in_force = self.0.active_config.read();
         in_force.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The configuration in force, without its document.
+    /// The active configuration without its document.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         let in_force = self.0.active_config.read();
         let in_force = in_force.unwrap_or_else(PoisonError::into_inner);
         in_force.as_ref().map(|active| active.configuration.clone())
     }
 
-    /// The version in force; 0 while there is none.
+    /// The version of the active configuration; 0 while there is none.
     pub fn config_version(&self) -> u64 {
         self.0.config_version.load(Ordering::Relaxed)
     }
 
-    /// Takes a configuration document, unless one as new is in force. `source` says where it came
-    /// from.
+    /// Decodes a configuration document and activates it if its version is newer than the active one.
+    /// `source` names its origin in log entries.
     pub async fn offer_configuration(&self, key: &str, document: &Bytes, source: &str) {
         match self.decode(key, document).await {
             Ok(Some(configuration)) => {
@@ -74,19 +74,27 @@
         }
     }
 
-    /// The same for a document that peers told in pieces.
+    /// Like [`Shared::offer_configuration`], for a document fetched from peers in pieces.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// An error if the document can't be decoded, or is not of the version that its manifest states.
     pub(crate) async fn offer_pieces(&self, pieces: CutDocument, source: &str) -> Result<()> {
         let key = pieces.manifest().key.clone();
         let document = pieces.document().clone();
         let announced = pieces.manifest().version;
         let configuration = match self.decode(&key, &document).await? {
             Some(configuration) if configuration.version == announced => configuration,
-            Some(_) => return Err(Error::Document(format!("it is not version {announced}"))),
-            None => return Err(Error::Document(format!("{key} names no configuration"))),
+            Some(_) => {
+                return Err(Error::Document(format!(
+                    "the document is not of version {announced}, which its manifest states"
+                )));
+            }
+            None => {
+                return Err(Error::Document(format!(
+                    "key {key:?} doesn't name a configuration"
+                )));
+            }
         };
         self.activate(
             configuration,
@@ -98,13 +106,16 @@
         Ok(())
     }
 
-    /// Reads a document apart from the threads that relay. On hosts of 0.12 cores one of 3.3 MB took them 0.2 s
-    /// at each change, in which calls with 150 ms to go came late: 0.910 of the worth of a day of growing
-    /// documents was served with the reading between the calls, 0.936 with it apart (one play each).
+    /// Decodes a document on a blocking thread. On hosts with 0.12 cores a document of 3.3 MB took 0.2 s, which
+    /// made calls with 150 ms left miss their deadline: in a test day of growing documents, 0.910 of the value
+    /// was served with decoding on the request threads and 0.936 with decoding on a blocking thread (one run
+    /// each).
     async fn decode(&self, key: &str, document: &Bytes) -> Result<Option<Configuration>> {
         let bytes = document.len() as u64;
         if bytes > DOCUMENT_BYTES_MAX {
-            return Err(Error::Document(format!("{bytes} bytes are too many")));
+            return Err(Error::Document(format!(
+                "a document of {bytes} bytes exceeds the limit of {DOCUMENT_BYTES_MAX}"
+            )));
         }
         let (protocol, key, document) = (self.0.protocol.clone(), key.to_owned(), document.clone());
         let decoding = tokio::task::spawn_blocking(move || protocol.configuration(&key, &document));
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the directory of upstreams: recorded, and told to whom they concern.
+//! Changes of the directory of upstreams: logging them, and notifying the tasks that depend on them.
 
 use tokio::sync::watch;
 
@@ -10,17 +10,18 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::protocol::Topic;
 
-/// Who told of a change.
+/// Where a change came from.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum ChangeSource<'a> {
-    /// The log, or this host's own clock.
+    /// This host, by the named source: the platform's log or a timeout.
     Local(&'a str),
     /// Another host, by its name or address.
     Peer(&'a str),
 }
 
 impl Shared {
-    /// Records changes of the directory and wakes whom they concern.
+    /// Logs changes of the directory, drops the health state of instances that ended and notifies
+    /// subscribers.
     pub(crate) fn record_changes(&self, changes: Vec<Applied>, source: ChangeSource<'_>) {
         if changes.is_empty() {
             return;
@@ -39,8 +40,9 @@
             }
         }
         self.0.directory_changed.send_modify(|count| *count += 1);
-        // Those that only listen have nothing to tell that the others don't hear themselves: with a round
-        // of each at each change 295 hosts sent 286 datagrams a second each.
+        // Only hosts that read the log announce a change at once. The others would repeat what their peers
+        // receive from the reader: when each host announced each change, 295 hosts sent 286 datagrams a
+        // second each.
         if self.is_reading(Topic::Upstreams) {
             self.0.read_changes.send_modify(|count| *count += 1);
         }
@@ -73,7 +75,7 @@
             .write();
     }
 
-    /// Writes what was heard of upstreams, if it is time to.
+    /// Writes one log entry for the changes received from peers since the last one, if it is due.
     pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
         let Some(relayed) = lock(&self.0.relayed_changes).take_due(now) else {
@@ -91,7 +93,7 @@
             .write();
     }
 
-    /// An upstream was seen leaving or gone.
+    /// Records that an upstream was observed leaving or gone, and announces it to peers.
     pub fn observe_leaving(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if !self.directory(|directory| directory.witness(now, upstream)) {
@@ -107,20 +109,20 @@
         self.announce_now();
     }
 
-    /// Wakes at changes of the directory that this host has read for others.
+    /// Notifies of changes of the directory that this host has read from the log and should announce.
     pub(crate) fn watch_read_changes(&self) -> watch::Receiver<u64> {
         self.0.read_changes.subscribe()
     }
 
-    /// Wakes at each change of the directory.
+    /// Notifies of each change of the directory.
     pub fn watch_directory(&self) -> watch::Receiver<u64> {
         self.0.directory_changed.subscribe()
     }
 
-    /// Upstreams that were missing since an outage of the log count as gone.
-    pub fn record_expired(&self, lapsed: Vec<Applied>) {
+    /// Records the removal of upstreams that were not listed again after an outage of the log.
+    pub fn record_expired(&self, expired: Vec<Applied>) {
         self.record_changes(
-            lapsed,
+            expired,
             ChangeSource::Local("missing since the log's return"),
         );
     }
--- a/src/gateway/shared/cold.rs
+++ b/src/gateway/shared/cold.rs
@@ -1,4 +1,4 @@
-//! What this host may send to upstreams that are cold.
+//! Limits on the requests that this host sends to cold upstreams.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use crate::gateway::directory::Upstream;
 
 impl Shared {
-    /// Whether an upstream may get one request more of this host now. All may but cold ones, which several hosts
-    /// would else send to at once.
+    /// Whether this host may send one more request to an upstream now. Only cold upstreams are limited, since
+    /// otherwise several hosts would send to the same one at once.
     pub(crate) fn may_send(&self, now: Time, upstream: &Upstream) -> bool {
         if !self.directory(|directory| directory.is_cold(now, &upstream.id)) {
             return true;
@@ -38,7 +38,7 @@
         lock(&self.0.cold_budget).allows(now, &sender, &cold)
     }
 
-    /// A request of this host goes to an upstream.
+    /// Records a request sent to an upstream, for the limit on cold ones.
     pub(crate) fn record_send(&self, upstream: &Upstream) {
         let now = self.now();
         if self.directory(|directory| directory.is_cold(now, &upstream.id)) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Forgets what was sent to cold upstreams and counts no more.
+    /// Forgets requests to cold upstreams that are outside the limit's time window.
     pub(crate) fn expire_cold_sends(&self) {
         let now = self.now();
         lock(&self.0.cold_budget).lapse(now);
--- a/src/gateway/shared/evacuations.rs
+++ b/src/gateway/shared/evacuations.rs
@@ -1,4 +1,5 @@
-//! The data centres that operators have evacuated, as this host learns of them and tells of them.
+//! The data centres that operators have evacuated: updates from the log and from peers, and announcements
+//! to peers.
 
 use std::collections::BTreeSet;
 
@@ -11,13 +12,13 @@
 use crate::gateway::protocol::Record;
 
 impl Shared {
-    /// What this host knows of evacuations, for others.
+    /// This host's state of evacuations, as announced to peers.
     pub(crate) fn announced_evacuations(&self) -> ToldEvacuations {
         let now = self.now();
         self.directory(|directory| directory.evacuations().tell(now))
     }
 
-    /// Takes all records that the operators' topic of the log holds as of `end`.
+    /// Replaces the evacuations by those in a full read of the operators' topic, as of `end`.
     pub(crate) fn replace_evacuations(&self, records: &[Record], end: Position) {
         let evacuated = self.decode_evacuations(records);
         let data_centres: BTreeSet<_> = evacuated
@@ -33,7 +34,7 @@
         self.report_evacuations(&changes, "log");
     }
 
-    /// Takes the next records of the operators' topic, up to `read_to`.
+    /// Applies the next records of the operators' topic, up to `read_to`.
     pub(crate) fn apply_evacuations(&self, records: &[Record], read_to: Position) {
         let records = self.decode_evacuations(records);
         let changes =
@@ -41,14 +42,14 @@
         self.report_evacuations(&changes, "log");
     }
 
-    /// Another host tells what it knows.
+    /// Merges the evacuations that a peer announces.
     pub(crate) fn receive_evacuations(&self, announced: &ToldEvacuations, source: &str) {
         let now = self.now();
         let changes = self.directory(|directory| directory.evacuations_mut().hear(now, announced));
         self.report_evacuations(&changes, source);
     }
 
-    /// Drops what an earlier history of the log said, once operators had time to write it again.
+    /// Drops evacuations of an earlier log era that operators have not written again in time.
     pub(crate) fn expire_evacuations(&self) {
         let now = self.now();
         let changes = self.directory(|directory| directory.evacuations_mut().lapse(now));
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -1,4 +1,4 @@
-//! What this host believes of upstreams by what became of requests and connections to them.
+//! Health of upstreams, derived from the outcomes of requests and connections to them.
 
 use http::HeaderMap;
 
@@ -14,16 +14,16 @@
 use crate::id::HostId;
 use crate::id::ServiceId;
 
-/// At most this share of a service's upstreams is ejected at once, in percent.
+/// Largest share of a service's upstreams that may be ejected at once, in percent.
 const EJECTED_PERCENT_MAX: usize = 50;
 
 impl Shared {
-    /// Runs `use_ejector` on what is known of upstreams' failures.
+    /// Runs `use_ejector` on the locked ejector, which tracks the failures of upstreams.
     pub(crate) fn ejector<T>(&self, use_ejector: impl FnOnce(&mut Ejector<InstanceId>) -> T) -> T {
         use_ejector(&mut lock(&self.0.ejector))
     }
 
-    /// A connection to an upstream could not be established.
+    /// Records that a connection to an upstream could not be established.
     pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if lock(&self.0.reachability).failed(now, upstream) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Another host of the data centre can't connect to these upstreams.
+    /// Records upstreams that another host of this data centre can't connect to.
     pub fn receive_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
@@ -48,12 +48,12 @@
         }
     }
 
-    /// What this host itself can't connect to now.
+    /// Upstreams that this host itself can't connect to now.
     pub fn unreachable_upstreams(&self) -> Vec<InstanceId> {
         lock(&self.0.reachability).first_hand(self.now())
     }
 
-    /// An upstream may say what it holds.
+    /// Records the load that an upstream reports in response headers, if it reports one.
     pub(crate) fn record_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
         if let Some(reported) = self.protocol().reported_load(headers) {
             let now = self.now();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What an upstream said of itself a moment ago.
+    /// The load that an upstream has reported recently.
     pub(crate) fn reported_load(&self, now: Time, upstream: &InstanceId) -> Option<ReportedLoad> {
         let reported = lock(&self.0.reported_loads);
         match reported.is_empty() {
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Forgets what upstreams said of themselves a while ago.
+    /// Forgets outdated load reports of upstreams.
     pub(crate) fn expire_reported_loads(&self) {
         let now = self.now();
         lock(&self.0.reported_loads).lapse(now);
     }
 
-    /// A connection to an upstream was established.
+    /// Records that a connection to an upstream was established.
     pub fn record_reached(&self, upstream: &InstanceId) {
         if lock(&self.0.reachability).reached(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
@@ -86,8 +86,8 @@
         }
     }
 
-    /// A request goes to an upstream. If the upstream was ejected and may be tried again, this is the
-    /// trial, and no other is made until the guard is dropped.
+    /// Records that a request is sent to an upstream. If the upstream is ejected and due for a probe, this
+    /// request is the probe, and no other is sent until the guard is dropped.
     pub(crate) fn begin_send(&self, upstream: &InstanceId) -> SendGuard {
         self.ejector(|ejector| ejector.sent(upstream));
         SendGuard {
@@ -96,23 +96,24 @@
         }
     }
 
-    /// Whether requests that have another choice pass an upstream over.
+    /// Whether requests should prefer other upstreams to this one.
     pub(crate) fn is_avoided(&self, now: Time, upstream: &InstanceId) -> bool {
         let health = self.ejector(|ejector| ejector.health(now, upstream));
         health == Health::Ejected || self.is_unreachable(now, upstream)
     }
 
-    /// Whether connections to an upstream could not be established a moment ago.
+    /// Whether connections to an upstream have failed recently, here or at another host.
     pub(crate) fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
         lock(&self.0.reachability).is_passed_over(now, upstream)
     }
 
-    /// Whether this host is cut off from all upstreams of a service that others can reach.
+    /// Whether a network partition separates this host from all upstreams of a service that other hosts may
+    /// still reach.
     pub fn is_partitioned(&self) -> bool {
         lock(&self.0.partition).is_cut_off()
     }
 
-    /// Looks whether a cut keeps this host from a service, or has ended.
+    /// Checks whether a network partition separates this host from a service, or has ended, and logs a change.
     pub fn check_partition(&self) {
         let now = self.now();
         let silence = self.peers(|peers| peers.silence_outside(now));
@@ -133,7 +134,7 @@
             .write();
     }
 
-    /// A service whose upstreams are listed and can't be connected to, all of them.
+    /// A service that has ready upstreams, none of which can be connected to.
     fn unreachable_service(&self, now: Time) -> Option<ServiceId> {
         let configuration = self.configuration()?;
         let mut services = configuration.services.keys();
@@ -147,7 +148,7 @@
         services.find(is_lost).cloned()
     }
 
-    /// A request at an upstream failed by the upstream's fault.
+    /// Records a failed request for which the upstream is to blame, and ejects the upstream if due.
     pub fn record_failure(&self, service: &ServiceId, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         let pool = self.directory(|directory| directory.ready(service).len());
@@ -162,7 +163,7 @@
     }
 }
 
-/// A request that is under way to an upstream, for the judgement on the upstream's health.
+/// A request in flight to an upstream. Dropping it tells the ejector that the request has ended.
 #[derive(Debug)]
 pub(crate) struct SendGuard {
     shared: Shared,
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -1,4 +1,4 @@
-//! Which history of the platform's log this host knows, and what a later one means.
+//! The era of the platform's log. A new era begins when the log is restored from an older copy.
 
 use http::HeaderMap;
 
@@ -10,21 +10,21 @@
 use crate::telemetry;
 use crate::telemetry::Metric;
 
-/// An answer of the log from before its return, which arrived after this host heard of the return.
+/// An answer of the log from an earlier era than the latest one that this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct StaleAnswer;
 
 impl Shared {
-    /// The latest history of the log that this host has heard of.
+    /// The latest era of the log that this host knows.
     pub(crate) fn log_era(&self) -> Era {
         *lock(&self.0.log_era)
     }
 
-    /// The history that an answer of the log is of.
+    /// The era of an answer of the log; the known one if the answer states none.
     ///
     /// # Errors
     ///
-    /// [`StaleAnswer`] if the log has returned from an older copy since.
+    /// [`StaleAnswer`] if the log has been restored from an older copy since.
     pub(crate) fn check_answer_era(&self, headers: &HeaderMap) -> Result<Era, StaleAnswer> {
         let known = self.log_era();
         match ToldEra::of(headers, &self.protocol().headers().log_era) {
@@ -41,8 +41,9 @@
         }
     }
 
-    /// The log, or another host, tells of a history. Of a later one than is known all positions before are
-    /// void: what is listed is read anew, and upstreams whose entries were lost have time to list themselves again.
+    /// Handles an era stated by the log or a peer. A later era than the known one invalidates all earlier
+    /// positions: listed upstreams are read again, and those whose entries were lost get time to list
+    /// themselves again.
     pub(crate) fn receive_era(&self, era: Era, source: &str) {
         let known = {
             let mut log_era = lock(&self.0.log_era);
@@ -68,7 +69,7 @@
         self.announce_now();
     }
 
-    /// Named at most once in a history, and counted.
+    /// Counts an unreadable era, and logs it at most once per known era.
     fn log_bad_era(&self) {
         telemetry::count(Metric::BadErasTotal);
         let known = self.log_era();
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's log, and whether what changes there reaches this host.
+//! Which hosts read the platform's log, and whether its changes reach this host.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 use crate::gateway::reading::Audience;
 
 impl Shared {
-    /// Whether this host's last read of a topic came to nothing.
+    /// Whether this host's last read of a topic failed, or none has succeeded yet.
     pub fn is_log_unreachable(&self, topic: Topic) -> bool {
         lock(&self.0.log_reads).is_lost(topic)
     }
 
-    /// Whether this host shall follow a topic of the log.
+    /// Whether this host is one of the readers of a topic of the log.
     pub fn is_reader(&self, topic: Topic) -> bool {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.is_reader(now, &settings.host, &settings.data_centre, topic))
     }
 
-    /// Whether this host is one of those that look for a log that is away.
+    /// Whether this host is one of those that probe an unreachable log for its return.
     pub fn is_log_prober(&self) -> bool {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.is_lookout(now, &settings.host, &settings.data_centre))
     }
 
-    /// Whether this host follows a topic of the log and is answered.
+    /// Whether this host is a reader of a topic of the log and its reads are answered.
     pub fn is_reading(&self, topic: Topic) -> bool {
         let now = self.now();
         let wait = self.poll_wait();
         lock(&self.0.log_reads).is_answered(now, topic, wait) && self.is_reader(topic)
     }
 
-    /// What this host reads of the log, for its peers.
+    /// The topics that this host reads, as announced to peers.
     pub fn read_topics(&self) -> Topics {
         Topics {
             operator: self.is_reading(Topic::Operator),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What this host should read of the log and can't, for its peers.
+    /// The topics that this host should read and can't, as announced to peers.
     pub fn unreadable_topics(&self) -> Topics {
         let is_unreadable = |topic| self.is_log_unreachable(topic) && self.is_reader(topic);
         Topics {
@@ -54,31 +54,31 @@
         }
     }
 
-    /// Whether what changes in a topic of the log reaches this host: it reads the topic itself, or
-    /// heard a host that does a moment ago.
+    /// Whether changes in a topic of the log reach this host: it reads the topic itself, or has recently
+    /// received a datagram from a host that does.
     pub fn follows_topic(&self, topic: Topic) -> bool {
         self.is_reading(topic) || self.has_live_reader(topic)
     }
 
-    /// Whether a host that reads a topic of the log was heard a moment ago.
+    /// Whether this host has recently received a datagram from a reader of a topic of the log.
     pub(crate) fn has_live_reader(&self, topic: Topic) -> bool {
         let now = self.now();
         self.peers(|peers| peers.hears_reader(now, topic))
     }
 
-    /// Whether other hosts rely on what this one reads.
+    /// Whether this host reads the log on behalf of other hosts.
     pub(crate) fn reads_for_others(&self) -> bool {
         let reading = self.read_topics();
         self.audience() == Audience::Others && (reading.operator || reading.upstreams)
     }
 
-    /// How often a host that reads the log for others sends to them.
+    /// Interval between the datagrams of a host that reads the log for others.
     pub(crate) fn reader_interval(&self) -> Duration {
         let now = self.now();
         self.peers(|peers| peers.reader_interval(now))
     }
 
-    /// Whether this host leaves the reading of a topic to others.
+    /// Whether this host relies on others to read a topic.
     pub(crate) fn delegates_reading(&self, topic: Topic) -> bool {
         let now = self.now();
         !self.is_reader(topic)
@@ -86,7 +86,7 @@
             && self.peers(|peers| peers.awaits_reader(now, topic))
     }
 
-    /// Whether the configuration that this host believes to be in force may be stale.
+    /// Whether the active configuration may be stale.
     pub fn may_be_stale(&self) -> bool {
         !self.follows_topic(Topic::Operator) || self.is_behind()
     }
@@ -98,13 +98,13 @@
         }
     }
 
-    /// How long this host's reads wait at the log for news.
+    /// How long this host's reads wait at the log for new records (long polling).
     fn poll_wait(&self) -> Duration {
         reading::wait_for_news(self.settings().staleness_max, self.audience())
     }
 
-    /// How long the next read of a topic waits at the log: not at all while the topic is lost, so that
-    /// an answer tells at once that it is back.
+    /// How long the next read of a topic waits at the log. It doesn't wait while the topic is unreachable, so
+    /// that the first answer shows at once that it is back.
     pub(crate) fn next_poll_wait(&self, topic: Topic) -> Duration {
         match self.is_log_unreachable(topic) {
             true => Duration::ZERO,
@@ -112,12 +112,12 @@
         }
     }
 
-    /// How long after its wait the answer to a read of a topic may come.
+    /// How long after the end of its wait a read of a topic may still be answered.
     pub(crate) fn answer_slack(&self, topic: Topic) -> Duration {
         lock(&self.0.log_reads).answer_slack(topic)
     }
 
-    /// The log answered a read of a topic, `delay` after the wait that was asked for.
+    /// Records that the log answered a read of a topic, `delay` after the end of the requested wait.
     pub(crate) fn record_log_answer(&self, topic: Topic, delay: Duration) {
         let now = self.now();
         let Some(outage) = lock(&self.0.log_reads).answered(now, topic, delay) else {
@@ -134,12 +134,12 @@
         self.announce_now();
     }
 
-    /// More of the log's answer to a read of a topic has arrived.
+    /// Records that another part of the log's answer to a read of a topic has arrived.
     pub(crate) fn record_log_progress(&self, topic: Topic) {
         lock(&self.0.log_reads).progressed(self.now(), topic);
     }
 
-    /// A read of a topic that took `waited` came to nothing.
+    /// Records that a read of a topic failed after `waited`.
     pub(crate) fn record_log_failure(&self, topic: Topic, waited: Duration, reason: &str) {
         let now = self.now();
         let (was_reachable, age) = {
@@ -159,7 +159,7 @@
             .with_some("answered_ms_ago", age.map(|age| age.as_millis() as u64))
             .with("version", self.config_version())
             .write();
-        // Another host reads in this one's place as soon as it hears of it.
+        // Another host takes over the reading as soon as it receives this announcement.
         self.announce_now();
     }
 
--- a/src/gateway/shared/remoteloads.rs
+++ b/src/gateway/shared/remoteloads.rs
@@ -1,4 +1,4 @@
-//! What runs at upstreams of other data centres, as hosts there tell.
+//! Load at the upstreams of other data centres, exchanged with the hosts there.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,16 +12,17 @@
 use crate::gateway::loads::Load;
 use crate::id::DataCentre;
 
-/// A word of a data centre that is younger is as good as a new one.
+/// A data centre whose last report is younger than this is not queried.
 const REPORT_FRESH_FOR: Duration = Duration::from_millis(100);
-/// An answer comes within this time: two round trips of the farthest data centre, and a host that has no processor
-/// time at first.
+/// How long a request waits for an answer: two round trips to the farthest data centre, and a scheduling
+/// delay of the answering host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
-/// Data centres that are asked at once, so that the cost of a host doesn't grow with their number.
+/// Data centres queried at once, so that a host's cost doesn't grow with their number.
 const QUERIES_MAX: usize = 3;
 
 impl Shared {
-    /// What runs at the upstreams of this data centre, but for what hosts of `receiver` run there.
+    /// The load at the upstreams of this data centre, without the requests of hosts in `receiver`, which
+    /// know these themselves.
     pub(crate) fn local_loads(&self, receiver: &DataCentre) -> Vec<(InstanceKey, Load)> {
         let here = &self.settings().data_centre;
         self.directory(|directory| {
@@ -31,7 +32,7 @@
         })
     }
 
-    /// What this host runs in other data centres.
+    /// The load that this host has placed in each other data centre.
     pub(crate) fn own_remote_loads(&self) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
         let here = &self.settings().data_centre;
         let mut remote = self.directory(|directory| {
@@ -42,7 +43,7 @@
         remote
     }
 
-    /// Other data centres whose last word is not fresh, a few of them.
+    /// A random few of the other data centres whose last report is not fresh.
     pub(crate) fn data_centres_to_query(&self, now: Time) -> Vec<DataCentre> {
         if self.is_small_fleet() {
             return Vec::new();
@@ -59,21 +60,21 @@
         data_centres
     }
 
-    /// Asks the other data centres what runs at their upstreams, if their reports are old, and waits a moment for an
-    /// answer.
+    /// Queries other data centres for the load at their upstreams, if their reports are old, and waits up to
+    /// [`ANSWER_TIMEOUT`] for an answer.
     pub(crate) async fn query_remote_loads(&self) {
         let mut reports = self.0.load_reports.subscribe();
         self.0.load_queries.send_modify(|count| *count += 1);
-        // No answer by then is as good as an old word.
+        // Without an answer the choice falls back to the old report.
         let _ = tokio::time::timeout(ANSWER_TIMEOUT, reports.changed()).await;
     }
 
-    /// Wakes when this host is to ask.
+    /// Notifies when this host should query other data centres.
     pub(crate) fn watch_load_queries(&self) -> watch::Receiver<u64> {
         self.0.load_queries.subscribe()
     }
 
-    /// Another data centre's word has arrived.
+    /// Notifies waiting requests that a load report of another data centre has arrived.
     pub(crate) fn notify_load_report(&self) {
         self.0.load_reports.send_modify(|count| *count += 1);
     }
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -1,4 +1,5 @@
-//! Roll-outs, as this host learns of them, tells of them and judges them.
+//! Roll-outs: updates from the log and from peers, announcements to peers, and the assessment of new
+//! versions.
 
 use std::time::Duration;
 
@@ -25,16 +26,16 @@
 use crate::id::ServiceId;
 use crate::id::VersionId;
 
-/// Whether records of the log were written a moment ago.
+/// Whether records of the log are known to be recent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// They were.
+    /// They were written just before they were read.
     Fresh,
-    /// They are the newest of their keys, however old.
+    /// They are the newest of their keys, and of any age.
     Unknown,
 }
 
-/// An order and what is due of it.
+/// An order that has not ended, and its next step.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenRollout {
     pub(crate) service: ServiceId,
@@ -46,7 +47,7 @@
 }
 
 impl Shared {
-    /// Runs `use_evidence` on what was seen of versions that are tried.
+    /// Runs `use_evidence` on the locked observations of versions on trial.
     pub(crate) fn rollout_evidence<T>(
         &self,
         use_evidence: impl FnOnce(&mut EvidenceBoard) -> T,
@@ -54,13 +55,13 @@
         use_evidence(&mut lock(&self.0.evidence))
     }
 
-    /// What this host knows of roll-outs, for others.
+    /// This host's state of roll-outs, as announced to peers.
     pub(crate) fn announced_rollouts(&self) -> Vec<ToldRollout> {
         let now = self.now();
         self.directory(|directory| directory.rollouts().tell(now))
     }
 
-    /// Takes records of the operators' topic.
+    /// Applies roll-out orders from records of the operators' topic.
     pub(crate) fn apply_rollouts(&self, records: &[Record], era: Era, freshness: Freshness) {
         let now = self.now();
         let is_fresh = freshness == Freshness::Fresh;
@@ -83,7 +84,7 @@
         self.report_rollouts(&changes, "log", None);
     }
 
-    /// Another host tells what it knows.
+    /// Merges the state of roll-outs that a peer announces.
     pub(crate) fn receive_rollouts(&self, announced: &[ToldRollout], source: &str) {
         if announced.is_empty() {
             return;
@@ -93,7 +94,7 @@
         self.report_rollouts(&changes, source, None);
     }
 
-    /// An order has come further, by what this host saw or did.
+    /// Advances an order to a later stage, because of what this host observed or did.
     pub(crate) fn advance_rollout(&self, rollout: &OpenRollout, stage: Stage, reason: &str) {
         let now = self.now();
         let change = self.directory(|directory| {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Which upstreams a request of a service goes to that arrived now.
+    /// Chooses whether a new request of a service goes to the version on trial or to the proven ones.
     pub(crate) fn choose_track(&self, service: &ServiceId) -> Track {
         let open = |directory: &mut Directory| {
             let rollout = directory.rollouts().get(service)?;
@@ -143,7 +144,7 @@
         self.directory(|directory| directory.rollouts_mut().draw(now, service, share, draw))
     }
 
-    /// What came of a request at an upstream, for the judgement on a version that is tried.
+    /// Records the outcome of a request at an upstream, for the assessment of the version on trial.
     pub(crate) fn record_rollout_outcome(
         &self,
         admitted: &Admitted,
@@ -176,7 +177,7 @@
         self.rollout_evidence(|evidence| evidence.answered(now, order, &answer));
     }
 
-    /// The orders whose end operators wait for, and what is due of each.
+    /// The open orders, each with its next step.
     pub(crate) fn open_rollouts(&self) -> Vec<OpenRollout> {
         let now = self.now();
         let bound = self.settings().exposure;
@@ -199,7 +200,8 @@
         })
     }
 
-    /// Stops work for versions that turn out bad; every host does so by itself, and tells the others.
+    /// Reverts roll-outs whose version turns out bad. Each host decides this itself and announces it to the
+    /// others.
     pub(crate) fn review_rollouts(&self) {
         if self.directory(|directory| directory.rollouts().is_empty()) {
             return;
@@ -217,14 +219,14 @@
         self.rollout_evidence(|evidence| evidence.retain(now, |order| open.contains(&order)));
     }
 
-    /// Where this host stands among those that may take an order's next step, so that one does it first.
+    /// This host's rank among those that may take the next step of a service's roll-out; 0 goes first.
     pub(crate) fn rollout_rank(&self, service: &ServiceId) -> usize {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.rank(now, &settings.host, service.as_str()))
     }
 
-    /// How long a host of this rank leaves a step to those before it.
+    /// How long this host waits before it takes a due step, so that hosts of a lower rank can take it first.
     pub(crate) fn rollout_step_delay(&self, service: &ServiceId) -> Duration {
         const STEP_DELAY_PER_RANK: Duration = Duration::from_millis(250);
         const RANK_MAX: usize = 6;
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -1,4 +1,4 @@
-//! What this host believes of requests by what became of the upstreams that ran them.
+//! Requests suspected of crashing upstreams, by the fingerprint of their content.
 
 use std::time::Duration;
 
@@ -19,18 +19,17 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// A request whose content is tried by another host may come back after this time: most generations have
-/// ended by then.
+/// Retry-after of a request whose content is on trial at another host. Most generations end within it.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 impl Shared {
-    /// Runs `use_suspects` on what is known of requests under which upstreams crashed.
+    /// Runs `use_suspects` on the locked record of requests during which upstreams crashed.
     pub(crate) fn suspects<T>(&self, use_suspects: impl FnOnce(&mut Suspects) -> T) -> T {
         use_suspects(&mut lock(&self.0.suspects))
     }
 
-    /// The refusal of a request that is held back; none for one that may be sent, also as the trial of
-    /// its content.
+    /// The refusal of a request that is held back. `None` if it may be sent, which includes the trial of its
+    /// content.
     pub(crate) fn refuse_suspect(&self, admitted: &Admitted) -> Option<Refusal> {
         let now = self.now();
         let fingerprint = admitted.fingerprint;
@@ -50,8 +49,9 @@
         Some(refusal.retry_after_ms(ms))
     }
 
-    /// Whether a request is the trial of its content. One host of all is the one to make it, the same by all
-    /// views that don't differ; the next repeat that it is sent is the trial.
+    /// Whether a request is the trial of its content. One host of the fleet is chosen by rendezvous hashing to
+    /// run it, the same by all hosts that have the same view of the fleet; the next request with this content
+    /// that arrives there is the trial.
     fn is_trial(&self, now: Time, admitted: &Admitted) -> bool {
         if admitted.is_trial.get() {
             return true;
@@ -69,8 +69,8 @@
         is_begun
     }
 
-    /// The connection to an upstream broke while it ran a request. One that is leaving ends by itself, and a cold
-    /// one crashes under many sound requests.
+    /// Records that the connection to an upstream broke while it ran a request. Leaving and cold upstreams
+    /// don't count: the former end anyway, and the latter may crash under many harmless requests.
     pub(crate) fn record_crash(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
         let now = self.now();
         let has_own_cause = |directory: &mut Directory| {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// An upstream answered a request in whole.
+    /// Clears a request of suspicion, because an upstream has answered it completely.
     pub(crate) fn clear_suspect(&self, fingerprint: Fingerprint, upstream: &InstanceId) {
         let now = self.now();
         let before = self.suspects(|suspects| suspects.answered(now, fingerprint));
@@ -98,12 +98,13 @@
         }
     }
 
-    /// An upstream answered a request that was sent at `sent_at`, in whole or in part.
+    /// Records that an upstream was alive after `sent_at`: it answered a request sent then, completely or in
+    /// part.
     pub(crate) fn record_alive(&self, sent_at: Time, upstream: &InstanceId) {
         self.suspects(|suspects| suspects.alive(sent_at, upstream));
     }
 
-    /// Drops what is too old, or can't be true of upstreams that are listed.
+    /// Drops suspicions that are too old, and crashes of upstreams that are still listed and so didn't crash.
     pub(crate) fn review_suspects(&self) {
         if self.suspects(|suspects| suspects.is_empty()) {
             return;
@@ -126,7 +127,7 @@
         Listed::Fresh(reachable.map(InstanceId::key).collect())
     }
 
-    /// Another host tells of requests under which upstreams crashed.
+    /// Merges the suspected requests that a peer announces.
     pub(crate) fn receive_suspects(&self, source: &str, announced: &[ToldSuspect]) {
         let now = self.now();
         let changed = self.suspects(|suspects| suspects.hear(now, announced));
@@ -135,7 +136,8 @@
         }
     }
 
-    /// A single crash may have any cause: the line of the request that it ended tells of it.
+    /// Logs a suspected request. A single crash may have any cause and is only logged with the request that it
+    /// ended.
     fn log_suspect(&self, fingerprint: Fingerprint, standing: Standing, source: &str) {
         if standing.crashes < 2 {
             return;
--- a/src/gateway/shared/suspension.rs
+++ b/src/gateway/shared/suspension.rs
@@ -1,4 +1,4 @@
-//! What a suspension of this host means for what it believes.
+//! Detection of suspensions of this host, and what they invalidate.
 
 use std::time::Duration;
 
@@ -14,17 +14,18 @@
 use crate::telemetry;
 use crate::telemetry::Metric;
 
-/// Datagrams that arrived while the host was suspended are read within this time of its waking.
+/// Datagrams that arrived during a suspension are read within this time after its end. They
+/// date from before, so they don't confirm what this host knows.
 const STALE_DATAGRAM_WINDOW: Duration = Duration::from_millis(50);
 
 impl Shared {
-    /// The clock that counts suspensions.
+    /// The clock whose time includes suspensions.
     pub(crate) fn clock(&self) -> SystemClock {
         self.0.clock
     }
 
-    /// Looks whether the host was suspended since it last looked. Then no topic of the log counts as read, reads
-    /// that are under way are given up, and whoever waits for something looks at the time anew.
+    /// Checks whether the host was suspended since the last check. If so, all topics of the log count as
+    /// unread, pending reads are abandoned, and tasks that wait for a deadline check the time again.
     pub(crate) fn check_suspension(&self) {
         let clock = self.clock();
         let check = |steady| lock(&self.0.suspension).look(clock.now(), steady);
@@ -43,7 +44,8 @@
         self.announce_now();
     }
 
-    /// Whether the host has woken and neither read the log since nor heard a host that does.
+    /// Whether the host was suspended recently, and has since neither read the log nor received a datagram
+    /// from a host that reads it.
     pub(crate) fn is_resuming(&self) -> bool {
         let now = self.now();
         let Some(resumed_at) = lock(&self.0.suspension).woken_at(now) else {
@@ -63,7 +65,8 @@
         is_read || self.has_caught_up(now, topic, received_within)
     }
 
-    /// Whether a host that reads a topic was heard within this time, and this one lacks nothing that it told.
+    /// Whether a reader of the topic was heard from within this time, and this host has fetched what it
+    /// announced.
     fn has_caught_up(&self, now: Time, topic: Topic, window: Duration) -> bool {
         let fetch = match topic {
             Topic::Operator => Fetch::Configuration,
@@ -74,17 +77,18 @@
         })
     }
 
-    /// How long the last suspension was; zero if there was none.
+    /// Duration of the last suspension; zero if there was none.
     pub(crate) fn last_suspension(&self) -> Duration {
         lock(&self.0.suspension).last_suspension()
     }
 
-    /// Wakes with the host.
+    /// Notifies when the host resumes after a suspension.
     pub(crate) fn watch_wakeups(&self) -> watch::Receiver<u64> {
         self.0.wakeups.subscribe()
     }
 
-    /// Returns when the host wakes from a suspension in which `deadline` passed; timers don't count that time.
+    /// Returns when the host resumes after a suspension during which `deadline` passed. Timers don't count
+    /// that time.
     pub(crate) async fn wait_missed_deadline(&self, deadline: Time) {
         let mut wakes = self.watch_wakeups();
         while wakes.changed().await.is_ok() {
@@ -92,7 +96,7 @@
                 return;
             }
         }
-        // The host's state is going; nobody waits for this any more.
+        // The shared state is being dropped, so nothing waits for this any more.
         std::future::pending().await
     }
 }
