--- a/tests/instances/mod.rs
+++ b/tests/instances/mod.rs
@@ -14,41 +14,45 @@
 use crate::get;
 
 /// What is listed takes work within this time: two of an upstream's own heartbeats.
-const LISTED_BOUND: Duration = Duration::from_millis(1_000);
+const LISTING_DELAY_MAX: Duration = Duration::from_millis(1_000);
 
-fn list_born(world: &World, upstream: &FakeUpstream, born_ms: u64) {
+fn list_instance(world: &World, upstream: &FakeUpstream, born_ms: u64) {
     let mut entry = upstream.entry("ready");
     entry["born_ms"] = json!(born_ms);
     world.log.put("upstreams", upstream.id(), &entry);
 }
 
-fn status(world: &World) -> u16 {
+fn call_status(world: &World) -> u16 {
     ask(world.callers(), &get("/nets/7", "")).status
 }
 
 // An upstream that had answered as another instance started again under its id. What was believed of
 // the instance before was held against it: no request was sent there for 120 s.
 #[test]
-fn an_upstream_seen_gone_gets_work_when_it_has_started_again() {
+fn a_restarted_upstream_gets_work_once_it_is_listed_again() {
     let behaviours = [Behaviour::OtherInstance, Behaviour::Answer(200, "sound")];
     let upstream = FakeUpstream::start("up-0", &behaviours);
     let world = World::serving(json!([route("idempotent")]), &[&upstream]);
-    let gone = status(&world);
-    let unused = status(&world);
+    let first_call = call_status(&world);
+    let second_call = call_status(&world);
     let seen_before = upstream.seen().len();
 
-    list_born(&world, &upstream, 9);
+    list_instance(&world, &upstream, 9);
 
     let listed = Instant::now();
-    assert_eq!((gone, unused, seen_before), (503, 503, 1));
-    assert!(wait_until(|| status(&world) == 200));
-    assert!(listed.elapsed() < LISTED_BOUND, "{:?}", listed.elapsed());
+    assert_eq!((first_call, second_call, seen_before), (503, 503, 1));
+    assert!(wait_until(|| call_status(&world) == 200));
+    assert!(
+        listed.elapsed() < LISTING_DELAY_MAX,
+        "{:?}",
+        listed.elapsed()
+    );
 }
 
 // A record without the fields of an upstream stood at the id of a good one. It was skipped, so that
 // the upstream, which its own log no longer named, went on getting work.
 #[test]
-fn a_record_of_another_writer_takes_the_upstream_away_that_it_replaces() {
+fn a_foreign_record_removes_the_upstream_that_it_replaces() {
     let upstreams =
         ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &[Behaviour::Answer(200, "sound")]));
     let world = World::serving(json!([route("idempotent")]), &[&upstreams[0]]);
@@ -57,23 +61,23 @@
     world.list(&upstreams[1], "ready");
 
     assert!(wait_until(|| {
-        status(&world);
+        call_status(&world);
         !upstreams[1].seen().is_empty()
     }));
     let seen_before = upstreams[0].seen().len();
-    let statuses: Vec<u16> = (0..20).map(|_| status(&world)).collect();
+    let statuses: Vec<u16> = (0..20).map(|_| call_status(&world)).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert_eq!(upstreams[0].seen().len(), seen_before);
 }
 
 #[test]
-fn an_upstream_whose_record_was_replaced_is_used_again_once_it_lists_itself() {
+fn a_replaced_upstream_is_used_again_once_it_lists_itself() {
     let upstream = FakeUpstream::start("up-0", &[Behaviour::Answer(200, "sound")]);
     let world = World::serving(json!([route("idempotent")]), &[&upstream]);
     world.log.put("upstreams", "up-0", &json!([1, 2]));
-    assert!(wait_until(|| status(&world) == 503));
+    assert!(wait_until(|| call_status(&world) == 503));
 
     world.list(&upstream, "ready");
 
-    assert!(wait_until(|| status(&world) == 200));
+    assert!(wait_until(|| call_status(&world) == 200));
 }
--- a/tests/logreturns/mod.rs
+++ b/tests/logreturns/mod.rs
@@ -19,12 +19,12 @@
 use crate::post;
 
 /// An upstream that leaves gets no new work after this time.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Requests that are sent to see where they go.
-const REQUESTS: usize = 40;
+const REQUESTS_PER_HOST: usize = 40;
 const UPSTREAMS: usize = 4;
 
-fn upstreams() -> Vec<FakeUpstream> {
+fn start_upstreams() -> Vec<FakeUpstream> {
     (0..UPSTREAMS)
         .map(|index| {
             FakeUpstream::start(&format!("up-{index}"), &[Behaviour::Answer(200, "sound")])
@@ -37,13 +37,13 @@
 }
 
 /// Hosts that serve by upstreams, each listed.
-fn deployment(hosts: usize) -> (Vec<World>, Vec<FakeUpstream>) {
+fn start_deployment(hosts: usize) -> (Vec<World>, Vec<FakeUpstream>) {
     let fleet = World::start_fleet(hosts);
-    let upstreams = upstreams();
+    let upstreams = start_upstreams();
     for upstream in &upstreams {
         list(&fleet[0].log, upstream, "ready");
     }
-    publish(&fleet[0].log, 1, "key-1");
+    publish_configuration(&fleet[0].log, 1, "key-1");
     assert!(wait_until(|| fleet.iter().all(World::is_ready)));
     assert!(wait_until(
         || (0..hosts).all(|host| status(&fleet[host]) == 200)
@@ -52,14 +52,14 @@
 }
 
 /// Lists an upstream so many times more, which changes nothing, until all hosts have gone on serving.
-fn list_again(hosts: &[World], upstream: &FakeUpstream, times: usize) {
+fn relist(hosts: &[World], upstream: &FakeUpstream, times: usize) {
     for _ in 0..times {
         list(&hosts[0].log, upstream, "ready");
     }
     assert!(wait_until(|| hosts.iter().all(|host| status(host) == 200)));
 }
 
-fn publish(log: &FakeLog, version: u64, key: &str) {
+fn publish_configuration(log: &FakeLog, version: u64, key: &str) {
     let mut configuration = table(version, json!([route("idempotent")]));
     configuration["keys"] = json!({ key: "canton" });
     log.put("operator", "table", &configuration);
@@ -69,16 +69,16 @@
     ask(host.callers(), &post("/nets/7", "", "tighten")).status
 }
 
-fn ask_once(host: &World) {
+fn send_request(host: &World) {
     status(host);
 }
 
 /// [`requests_after_drain`] of an upstream whose notice is the first record after the log's return from a copy that lacks the
 /// last `lost` of its records; `times` of them change nothing.
-fn requests_after_notice(hosts: usize, times: usize, lost: usize) -> usize {
-    let (hosts, upstreams) = deployment(hosts);
+fn requests_after_restore(hosts: usize, times: usize, lost: usize) -> usize {
+    let (hosts, upstreams) = start_deployment(hosts);
     let log = &hosts[0].log;
-    list_again(&hosts, &upstreams[1], times);
+    relist(&hosts, &upstreams[1], times);
 
     log.return_from_copy("upstreams", lost);
     list(log, &upstreams[0], "leaving");
@@ -86,15 +86,15 @@
     requests_after_drain(&hosts, &upstreams[0])
 }
 
-/// Requests that reach `upstream` of those that the hosts are sent, [`DRAIN`] from now on.
+/// Requests that reach `upstream` of those that the hosts are sent, [`DRAIN_TIMEOUT`] from now on.
 fn requests_after_drain(hosts: &[World], upstream: &FakeUpstream) -> usize {
-    let drained = Instant::now() + DRAIN;
+    let drained = Instant::now() + DRAIN_TIMEOUT;
     while Instant::now() < drained {
-        hosts.iter().for_each(ask_once);
+        hosts.iter().for_each(send_request);
     }
     let before = upstream.seen().len();
-    for _ in 0..REQUESTS {
-        hosts.iter().for_each(ask_once);
+    for _ in 0..REQUESTS_PER_HOST {
+        hosts.iter().for_each(send_request);
     }
     upstream.seen().len() - before
 }
@@ -102,24 +102,24 @@
 // Offsets of two histories of the log were compared. The notice of an upstream that left was written under an offset that the hosts
 // had read already, so it was skipped: 7 s later it got 8 to 13 of 80 requests.
 #[test]
-fn a_notice_under_an_offset_given_out_again_is_heard() {
-    assert_eq!(requests_after_notice(4, 1, 1), 0);
+fn a_notice_at_a_reused_offset_is_applied() {
+    assert_eq!(requests_after_restore(4, 1, 1), 0);
 }
 
 // From twelve hosts on one of them reads the upstreams for all, and the others go by what it tells.
 #[test]
-fn hosts_that_leave_the_reading_to_others_hear_such_a_notice() {
-    assert_eq!(requests_after_notice(20, 1, 1), 0);
+fn hosts_that_do_not_read_the_log_receive_a_notice_at_a_reused_offset() {
+    assert_eq!(requests_after_restore(20, 1, 1), 0);
 }
 
 #[test]
-fn a_notice_in_a_log_that_is_shorter_than_before_is_heard() {
-    assert_eq!(requests_after_notice(4, 6, 5), 0);
+fn a_notice_in_a_shorter_log_is_applied() {
+    assert_eq!(requests_after_restore(4, 6, 5), 0);
 }
 
 #[test]
-fn an_upstream_known_to_leave_stays_so_though_the_copy_shows_it_ready() {
-    let (hosts, upstreams) = deployment(4);
+fn a_leaving_upstream_stays_leaving_though_the_copy_lists_it_as_ready() {
+    let (hosts, upstreams) = start_deployment(4);
     let log = &hosts[0].log;
     list(log, &upstreams[0], "leaving");
     let before = requests_after_drain(&hosts, &upstreams[0]);
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn an_upstream_removed_before_the_return_stays_so_though_the_copy_shows_it() {
-    let (hosts, upstreams) = deployment(4);
+fn a_removed_upstream_stays_removed_though_the_copy_lists_it() {
+    let (hosts, upstreams) = start_deployment(4);
     let log = &hosts[0].log;
     log.put("upstreams", upstreams[0].id(), &Value::Null);
     let before = requests_after_drain(&hosts, &upstreams[0]);
@@ -148,8 +148,8 @@
 }
 
 #[test]
-fn a_host_that_starts_while_the_copy_shows_a_leaving_upstream_ready_learns_it_from_others() {
-    let (hosts, upstreams) = deployment(4);
+fn a_new_host_learns_from_peers_of_a_leaving_upstream_that_the_copy_lists_as_ready() {
+    let (hosts, upstreams) = start_deployment(4);
     let log = &hosts[0].log;
     list(log, &upstreams[0], "leaving");
     assert_eq!(requests_after_drain(&hosts, &upstreams[0]), 0);
@@ -162,10 +162,10 @@
 }
 
 #[test]
-fn two_returns_in_a_row_lose_no_notice() {
-    let (hosts, upstreams) = deployment(4);
+fn no_notice_is_lost_when_the_log_is_restored_twice() {
+    let (hosts, upstreams) = start_deployment(4);
     let log = &hosts[0].log;
-    list_again(&hosts, &upstreams[1], 1);
+    relist(&hosts, &upstreams[1], 1);
 
     log.return_from_copy("upstreams", 1);
     list(log, &upstreams[2], "ready");
@@ -176,10 +176,10 @@
 }
 
 #[test]
-fn a_host_whose_reads_are_not_answered_hears_of_the_return_from_others() {
-    let (hosts, upstreams) = deployment(4);
+fn a_host_whose_reads_are_not_answered_learns_of_the_restore_from_peers() {
+    let (hosts, upstreams) = start_deployment(4);
     let log = &hosts[0].log;
-    list_again(&hosts, &upstreams[1], 1);
+    relist(&hosts, &upstreams[1], 1);
     hosts[3].log.set_silence(Silence::AllCalls);
 
     log.return_from_copy("upstreams", 1);
@@ -189,31 +189,31 @@
 }
 
 #[test]
-fn a_key_taken_away_in_the_lost_span_stays_away() {
-    let (hosts, _upstreams) = deployment(4);
+fn a_key_removed_by_a_lost_record_stays_removed() {
+    let (hosts, _upstreams) = start_deployment(4);
     let log = &hosts[0].log;
-    publish(log, 2, "key-2");
+    publish_configuration(log, 2, "key-2");
     assert!(wait_until(|| hosts.iter().all(|host| status(host) == 401)));
 
     log.return_from_copy("operator", 1);
 
-    let ends = Instant::now() + DRAIN;
+    let ends = Instant::now() + DRAIN_TIMEOUT;
     while Instant::now() < ends {
         assert!(hosts.iter().all(|host| status(host) != 200));
     }
 }
 
 #[test]
-fn a_configuration_written_anew_after_the_return_is_in_force() {
-    let (hosts, _upstreams) = deployment(4);
+fn a_configuration_published_after_the_restore_becomes_active() {
+    let (hosts, _upstreams) = start_deployment(4);
     let log = &hosts[0].log;
-    publish(log, 2, "key-1");
+    publish_configuration(log, 2, "key-1");
     assert!(wait_until(|| hosts.iter().all(|host| host.has_version(2))));
 
     log.return_from_copy("operator", 1);
-    publish(log, 3, "key-2");
+    publish_configuration(log, 3, "key-2");
 
-    let ends = Instant::now() + DRAIN;
+    let ends = Instant::now() + DRAIN_TIMEOUT;
     assert!(wait_until(|| hosts.iter().all(|host| status(host) == 401)));
     assert!(Instant::now() < ends, "late");
 }
