--- a/tests/instances/mod.rs
+++ b/tests/instances/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under their id, and records of other writers among theirs.
+//! Upstreams that restart under the same id, and records that other writers put into their topic.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 use crate::gatewayworld::wait_until;
 use crate::get;
 
-/// What is listed takes work within this time: two of an upstream's own heartbeats.
+/// A listed upstream gets work within this time: two of its heartbeats.
 const LISTING_DELAY_MAX: Duration = Duration::from_millis(1_000);
 
 fn list_instance(world: &World, upstream: &FakeUpstream, born_ms: u64) {
@@ -26,8 +26,8 @@
     ask(world.callers(), &get("/nets/7", "")).status
 }
 
-// An upstream that had answered as another instance started again under its id. What was believed of
-// the instance before was held against it: no request was sent there for 120 s.
+// Health was tracked by the upstream's id. An upstream that had answered as another instance than the listed
+// one was avoided for 120 s, even after it had restarted under its id and was listed again.
 #[test]
 fn a_restarted_upstream_gets_work_once_it_is_listed_again() {
     let behaviours = [Behaviour::OtherInstance, Behaviour::Answer(200, "sound")];
@@ -49,8 +49,8 @@
     );
 }
 
-// A record without the fields of an upstream stood at the id of a good one. It was skipped, so that
-// the upstream, which its own log no longer named, went on getting work.
+// Another writer's record, without the fields of an upstream, replaced the record of a listed upstream. It
+// was skipped, so the upstream went on getting work although the log no longer listed it.
 #[test]
 fn a_foreign_record_removes_the_upstream_that_it_replaces() {
     let upstreams =
--- a/tests/logreturns/mod.rs
+++ b/tests/logreturns/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's log returns from a copy some seconds old: what was written since is gone, and its offsets are
-//! given out again.
+//! The platform's log is restored from a copy that is some seconds old: the records written since are lost,
+//! and their offsets are assigned again.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,9 +18,9 @@
 use crate::gatewayworld::wait_until;
 use crate::post;
 
-/// An upstream that leaves gets no new work after this time.
+/// A leaving upstream gets no new work after this time.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests that are sent to see where they go.
+/// Requests sent through each host to see which upstreams get them.
 const REQUESTS_PER_HOST: usize = 40;
 const UPSTREAMS: usize = 4;
 
@@ -36,7 +36,7 @@
     log.put("upstreams", upstream.id(), &upstream.entry(state));
 }
 
-/// Hosts that serve by upstreams, each listed.
+/// Starts hosts and lists upstreams, and waits until all hosts serve.
 fn start_deployment(hosts: usize) -> (Vec<World>, Vec<FakeUpstream>) {
     let fleet = World::start_fleet(hosts);
     let upstreams = start_upstreams();
@@ -51,7 +51,7 @@
     (fleet, upstreams)
 }
 
-/// Lists an upstream so many times more, which changes nothing, until all hosts have gone on serving.
+/// Lists an upstream `times` more without a change, and waits until all hosts serve.
 fn relist(hosts: &[World], upstream: &FakeUpstream, times: usize) {
     for _ in 0..times {
         list(&hosts[0].log, upstream, "ready");
@@ -73,8 +73,8 @@
     status(host);
 }
 
-/// [`requests_after_drain`] of an upstream whose notice is the first record after the log's return from a copy that lacks the
-/// last `lost` of its records; `times` of them change nothing.
+/// Lists an upstream `times` more, restores the log from a copy that lacks the last `lost` records, and writes
+/// another upstream's notice as the first record after that. Returns [`requests_after_drain`] of the latter.
 fn requests_after_restore(hosts: usize, times: usize, lost: usize) -> usize {
     let (hosts, upstreams) = start_deployment(hosts);
     let log = &hosts[0].log;
@@ -86,7 +86,7 @@
     requests_after_drain(&hosts, &upstreams[0])
 }
 
-/// Requests that reach `upstream` of those that the hosts are sent, [`DRAIN_TIMEOUT`] from now on.
+/// Number of requests that still reach `upstream` after [`DRAIN_TIMEOUT`] from now.
 fn requests_after_drain(hosts: &[World], upstream: &FakeUpstream) -> usize {
     let drained = Instant::now() + DRAIN_TIMEOUT;
     while Instant::now() < drained {
@@ -99,14 +99,15 @@
     upstream.seen().len() - before
 }
 
-// Offsets of two histories of the log were compared. The notice of an upstream that left was written under an offset that the hosts
-// had read already, so it was skipped: 7 s later it got 8 to 13 of 80 requests.
+// Hosts compared offsets of different eras of the log. A leaving upstream's notice got an offset that they
+// had already read before the restore and was skipped: 7 s later the upstream got 8 to 13 of 80 requests.
 #[test]
 fn a_notice_at_a_reused_offset_is_applied() {
     assert_eq!(requests_after_restore(4, 1, 1), 0);
 }
 
-// From twelve hosts on one of them reads the upstreams for all, and the others go by what it tells.
+// With twelve other hosts or more, one host reads the upstreams for all, and the others rely on what it
+// announces.
 #[test]
 fn hosts_that_do_not_read_the_log_receive_a_notice_at_a_reused_offset() {
     assert_eq!(requests_after_restore(20, 1, 1), 0);
