--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -1,48 +1,50 @@
-//! Changes of the directory of upstreams: recorded, and told to whom they concern.
+//! Changes of the directory of upstreams: logging them, and notifying the tasks that depend on them.
 
 use tokio::sync::watch;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::event::EventCode;
 use crate::gateway::directory::Applied;
 use crate::gateway::directory::DirectoryChange;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::protocol::Topic;
 
-/// Who told of a change.
+/// Where a change came from.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum ToldBy<'a> {
-    /// The log, or this host's own clock.
-    Own(&'a str),
+pub(crate) enum ChangeSource<'a> {
+    /// This host, by the named source: the platform's log or a timeout.
+    Local(&'a str),
     /// Another host, by its name or address.
-    Host(&'a str),
+    Peer(&'a str),
 }
 
 impl Shared {
-    /// Records changes of the directory and wakes whom they concern.
-    pub(crate) fn record_changes(&self, changes: Vec<Applied>, told_by: ToldBy<'_>) {
+    /// Logs changes of the directory, drops the health state of instances that ended and notifies
+    /// subscribers.
+    pub(crate) fn record_changes(&self, changes: Vec<Applied>, source: ChangeSource<'_>) {
         if changes.is_empty() {
             return;
         }
         for applied in changes {
             if let Some(ended) = &applied.ended {
-                locked(&self.0.ejector).forget(ended);
-                locked(&self.0.reach).forget(ended);
+                lock(&self.0.ejector).forget(ended);
+                lock(&self.0.reachability).forget(ended);
             }
-            match told_by {
-                ToldBy::Own(source) => self.log_change(&applied, source),
-                ToldBy::Host(host) => {
+            match source {
+                ChangeSource::Local(source) => self.log_change(&applied, source),
+                ChangeSource::Peer(host) => {
                     let now = self.now();
-                    locked(&self.0.hearsay).note(now, host, &applied.id, applied.change);
+                    lock(&self.0.relayed_changes).note(now, host, &applied.id, applied.change);
                 }
             }
         }
         self.0.directory_changed.send_modify(|count| *count += 1);
-        // Those that only listen have nothing to tell that the others don't hear themselves: with a round
-        // of each at each change 295 hosts sent 286 datagrams a second each.
+        // Only hosts that read the log announce a change at once. The others would repeat what their peers
+        // receive from the reader: when each host announced each change, 295 hosts sent 286 datagrams a
+        // second each.
         if self.is_reading(Topic::Upstreams) {
-            self.0.changes_read.send_modify(|count| *count += 1);
+            self.0.read_changes.send_modify(|count| *count += 1);
         }
     }
 
@@ -73,25 +75,25 @@
             .write();
     }
 
-    /// Writes what was heard of upstreams, if it is time to.
+    /// Writes one log entry for the changes received from peers since the last one, if it is due.
     pub(crate) fn log_relayed_changes(&self) {
         let now = self.now();
-        let Some(gathered) = locked(&self.0.hearsay).take_due(now) else {
+        let Some(relayed) = lock(&self.0.relayed_changes).take_due(now) else {
             return;
         };
-        let first: Vec<&str> = gathered.first.iter().map(InstanceId::as_str).collect();
+        let first: Vec<&str> = relayed.first.iter().map(InstanceId::as_str).collect();
         let position = self.directory(|directory| directory.position());
         let mut line = self.log().line(EventCode::UpstreamsChanged);
-        for (change, count) in &gathered.counts {
+        for (change, count) in &relayed.counts {
             line = line.with(change, *count);
         }
         line.with("first", first.join(" "))
             .with("position", position.to_string())
-            .with("source", gathered.host)
+            .with("source", relayed.host)
             .write();
     }
 
-    /// An upstream was seen leaving or gone.
+    /// Records that an upstream was observed leaving or gone, and announces it to peers.
     pub fn observe_leaving(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if !self.directory(|directory| directory.witness(now, upstream)) {
@@ -107,18 +109,21 @@
         self.announce_now();
     }
 
-    /// Wakes at changes of the directory that this host has read for others.
+    /// Notifies of changes of the directory that this host has read from the log and should announce.
     pub(crate) fn watch_read_changes(&self) -> watch::Receiver<u64> {
-        self.0.changes_read.subscribe()
+        self.0.read_changes.subscribe()
     }
 
-    /// Wakes at each change of the directory.
+    /// Notifies of each change of the directory.
     pub fn watch_directory(&self) -> watch::Receiver<u64> {
         self.0.directory_changed.subscribe()
     }
 
-    /// Upstreams that were missing since an outage of the log count as gone.
-    pub fn record_expired(&self, lapsed: Vec<Applied>) {
-        self.record_changes(lapsed, ToldBy::Own("missing since the log's return"));
+    /// Records the removal of upstreams that were not listed again after an outage of the log.
+    pub fn record_expired(&self, expired: Vec<Applied>) {
+        self.record_changes(
+            expired,
+            ChangeSource::Local("missing since the log's return"),
+        );
     }
 }
--- a/src/gateway/shared/coldness.rs
+++ b/src/gateway/shared/cold.rs
@@ -1,17 +1,17 @@
-//! What this host may send to upstreams that are cold.
+//! Limits on the requests that this host sends to cold upstreams.
 
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::clock::Time;
 use crate::gateway::cold::ColdUpstream;
 use crate::gateway::cold::Sender;
 use crate::gateway::directory::Upstream;
 
 impl Shared {
-    /// Whether an upstream may get one request more of this host now. All may but cold ones, which several hosts
-    /// would else send to at once.
+    /// Whether this host may send one more request to an upstream now. Only cold upstreams are limited, since
+    /// otherwise several hosts would send to the same one at once.
     pub(crate) fn may_send(&self, now: Time, upstream: &Upstream) -> bool {
         if !self.directory(|directory| directory.is_cold(now, &upstream.id)) {
             return true;
@@ -35,20 +35,20 @@
             data_centre: &upstream.data_centre,
             requests_per_s,
         };
-        locked(&self.0.cold_budget).allows(now, &sender, &cold)
+        lock(&self.0.cold_budget).allows(now, &sender, &cold)
     }
 
-    /// A request of this host goes to an upstream.
+    /// Records a request sent to an upstream, for the limit on cold ones.
     pub(crate) fn record_send(&self, upstream: &Upstream) {
         let now = self.now();
         if self.directory(|directory| directory.is_cold(now, &upstream.id)) {
-            locked(&self.0.cold_budget).spend(now, &upstream.id);
+            lock(&self.0.cold_budget).spend(now, &upstream.id);
         }
     }
 
-    /// Forgets what was sent to cold upstreams and counts no more.
+    /// Forgets requests to cold upstreams that are outside the limit's time window.
     pub(crate) fn expire_cold_sends(&self) {
         let now = self.now();
-        locked(&self.0.cold_budget).prune(now);
+        lock(&self.0.cold_budget).prune(now);
     }
 }
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -1,9 +1,10 @@
-//! Roll-outs, as this host learns of them, tells of them and judges them.
+//! Roll-outs: updates from the log and from peers, announcements to peers, and the assessment of new
+//! versions.
 
 use std::time::Duration;
 
 use super::Shared;
-use super::locked;
+use super::lock;
 use crate::event::EventCode;
 use crate::gateway::directory::Directory;
 use crate::gateway::directory::Upstream;
@@ -25,42 +26,42 @@
 use crate::id::ServiceId;
 use crate::id::VersionId;
 
-/// Whether records of the log were written a moment ago.
+/// Whether records of the log are known to be recent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// They were.
+    /// They were written just before they were read.
     Fresh,
-    /// They are the newest of their keys, however old.
+    /// They are the newest of their keys, and of any age.
     Unknown,
 }
 
-/// An order and what is due of it.
+/// An order that has not ended, and its next step.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenRollout {
     pub(crate) service: ServiceId,
     pub(crate) ordered_at: Position,
     pub(crate) to: VersionId,
-    pub(crate) is_dated: bool,
+    pub(crate) has_order_time: bool,
     pub(crate) age: Duration,
     pub(crate) due: DueStep,
 }
 
 impl Shared {
-    /// Runs `use_evidences` on what was seen of versions that are tried.
+    /// Runs `use_evidence` on the locked observations of versions on trial.
     pub(crate) fn rollout_evidence<T>(
         &self,
-        use_evidences: impl FnOnce(&mut EvidenceBoard) -> T,
+        use_evidence: impl FnOnce(&mut EvidenceBoard) -> T,
     ) -> T {
-        use_evidences(&mut locked(&self.0.evidences))
+        use_evidence(&mut lock(&self.0.evidence))
     }
 
-    /// What this host knows of roll-outs, for others.
+    /// This host's state of roll-outs, as announced to peers.
     pub(crate) fn announced_rollouts(&self) -> Vec<AnnouncedRollout> {
         let now = self.now();
         self.directory(|directory| directory.rollouts().announce(now))
     }
 
-    /// Takes records of the operators' topic.
+    /// Applies roll-out orders from records of the operators' topic.
     pub(crate) fn apply_rollouts(&self, records: &[Record], era: Era, freshness: Freshness) {
         let now = self.now();
         let is_fresh = freshness == Freshness::Fresh;
@@ -83,17 +84,17 @@
         self.report_rollouts(&changes, "log", None);
     }
 
-    /// Another host tells what it knows.
-    pub(crate) fn receive_rollouts(&self, told: &[AnnouncedRollout], source: &str) {
-        if told.is_empty() {
+    /// Merges the state of roll-outs that a peer announces.
+    pub(crate) fn receive_rollouts(&self, announced: &[AnnouncedRollout], source: &str) {
+        if announced.is_empty() {
             return;
         }
         let now = self.now();
-        let changes = self.directory(|directory| directory.rollouts_mut().receive(now, told));
+        let changes = self.directory(|directory| directory.rollouts_mut().receive(now, announced));
         self.report_rollouts(&changes, source, None);
     }
 
-    /// An order has come further, by what this host saw or did.
+    /// Advances an order to a later stage, because of what this host observed or did.
     pub(crate) fn advance_rollout(&self, rollout: &OpenRollout, stage: Stage, reason: &str) {
         let now = self.now();
         let change = self.directory(|directory| {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Which upstreams a request of a service goes to that arrived now.
+    /// Chooses whether a new request of a service goes to the version on trial or to the proven ones.
     pub(crate) fn choose_track(&self, service: &ServiceId) -> Track {
         let open = |directory: &mut Directory| {
             let rollout = directory.rollouts().get(service)?;
@@ -134,7 +135,7 @@
             return Track::Stable;
         };
         let now = self.now();
-        self.rollout_evidence(|evidences| evidences.requested(now, order));
+        self.rollout_evidence(|evidence| evidence.requested(now, order));
         let share = TrialBudget {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
@@ -147,7 +148,7 @@
         })
     }
 
-    /// What came of a request at an upstream, for the judgement on a version that is tried.
+    /// Records the outcome of a request at an upstream, for the assessment of the version on trial.
     pub(crate) fn record_rollout_outcome(
         &self,
         admitted: &Admitted,
@@ -177,24 +178,24 @@
             outcome,
         };
         let now = self.now();
-        self.rollout_evidence(|evidences| evidences.answered(now, order, &answer));
+        self.rollout_evidence(|evidence| evidence.answered(now, order, &answer));
     }
 
-    /// The orders whose end operators wait for, and what is due of each.
+    /// The open orders, each with its next step.
     pub(crate) fn open_rollouts(&self) -> Vec<OpenRollout> {
         let now = self.now();
         let bound = self.settings().exposure;
         self.directory(|directory| {
             let open = directory.rollouts().open().map(|rollout| {
                 let order = rollout.ordered_at();
-                let evidence = self.rollout_evidence(|evidences| evidences.all(now, order));
+                let evidence = self.rollout_evidence(|evidence| evidence.all(now, order));
                 let new = directory.count_of_version(rollout.service(), rollout.to());
                 let judgement = evidence.judge(new);
                 OpenRollout {
                     service: rollout.service().clone(),
                     ordered_at: order,
                     to: rollout.to().clone(),
-                    is_dated: rollout.is_dated(),
+                    has_order_time: rollout.is_dated(),
                     age: rollout.age(now),
                     due: rollout.due_step(now, bound, &evidence, judgement.as_ref(), new),
                 }
@@ -203,7 +204,8 @@
         })
     }
 
-    /// Stops work for versions that turn out bad; every host does so by itself, and tells the others.
+    /// Reverts roll-outs whose version turns out bad. Each host decides this itself and announces it to the
+    /// others.
     pub(crate) fn review_rollouts(&self) {
         if self.directory(|directory| directory.rollouts().is_empty()) {
             return;
@@ -218,20 +220,20 @@
             let open = directory.rollouts().open();
             open.map(|rollout| rollout.ordered_at()).collect()
         });
-        self.rollout_evidence(|evidences| evidences.retain(now, |order| open.contains(&order)));
+        self.rollout_evidence(|evidence| evidence.retain(now, |order| open.contains(&order)));
     }
 
-    /// Where this host stands among those that may take an order's next step, so that one does it first.
+    /// This host's rank among those that may take the next step of a service's roll-out; 0 goes first.
     pub(crate) fn rollout_rank(&self, service: &ServiceId) -> usize {
         let now = self.now();
         let settings = self.settings();
         self.peers(|peers| peers.rank(now, &settings.host, service.as_str()))
     }
 
-    /// How long a host of this rank leaves a step to those before it.
+    /// How long this host waits before it takes a due step, so that hosts of a lower rank can take it first.
     pub(crate) fn rollout_step_delay(&self, service: &ServiceId) -> Duration {
-        const FOR_EACH: Duration = Duration::from_millis(250);
+        const STEP_DELAY_PER_RANK: Duration = Duration::from_millis(250);
         const RANK_MAX: usize = 6;
-        FOR_EACH * u32::try_from(self.rollout_rank(service).min(RANK_MAX)).unwrap_or(0)
+        STEP_DELAY_PER_RANK * u32::try_from(self.rollout_rank(service).min(RANK_MAX)).unwrap_or(0)
     }
 }
