--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -186,14 +186,14 @@
     };
     for upstreams in UPSTREAMS {
         let candidates: Vec<Candidate> = (0..upstreams).map(full_engine).collect();
-        let line = QueueState {
+        let queue = QueueState {
             ahead_tokens: 0,
             taken_tokens: 30_000 * upstreams as u64,
             hosts: 73,
             stats: &stats,
         };
         group.bench_function(BenchmarkId::from_parameter(upstreams), |bencher| {
-            bencher.iter(|| admit::decide(&demand, &line, &candidates, view, || 0.5));
+            bencher.iter(|| admit::decide(&demand, &queue, &candidates, view, || 0.5));
         });
     }
     group.finish();
--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -23,21 +23,21 @@
 use crate::gateway::place::View;
 
 /// What runs holds on average this share of what it is planned to need at its end.
-const GROWN_SHARE: f64 = 0.87;
+const MEAN_USED_SHARE: f64 = 0.87;
 /// A generation of no more output is over before what runs beside it has grown: about a second.
 const SHORT_OUTPUT_TOKENS: u32 = 100;
 /// A wait takes no more than this part of the objective: what an engine will take for the rest is a
 /// guess that is worst where the load has just risen.
-const PATIENCE_OBJECTIVES_MAX: f64 = 0.5;
+const MAX_WAIT_SHARE: f64 = 0.5;
 /// and no more than this one while many first events come late.
-const PATIENCE_OBJECTIVES_CAUTIOUS: f64 = 0.25;
+const CAUTIOUS_WAIT_SHARE: f64 = 0.25;
 /// So many hosts at most are taken to wait for what becomes free. Were all of a large fleet counted, generations that
 /// would have room in a moment were refused.
-const HOSTS_WAITING_MAX: usize = 3;
+const WAITING_HOSTS_MAX: usize = 3;
 /// A refused caller is told to come back within the last part of the time in which its answer could
 /// still come whole: its objective is lost already, later there is more room, and callers that were
 /// refused together come back apart.
-const RETURN_FROM: f64 = 0.5;
+const RETRY_EARLIEST_SHARE: f64 = 0.5;
 
 /// A generation that wants to start.
 #[derive(Debug, Clone, Copy)]
@@ -71,16 +71,16 @@
     /// It waits for room.
     Wait,
     /// It is refused.
-    Refuse(Prospect),
+    Refuse(WaitEstimate),
 }
 
 /// Why there is no use in waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Prospect {
+pub struct WaitEstimate {
     /// When room is expected.
     pub expected: Duration,
     /// The longest wait after which the first event still comes in time.
-    pub patience: Duration,
+    pub limit: Duration,
 }
 
 impl QueueState<'_> {
@@ -89,20 +89,20 @@
     fn expected_wait(&self, tokens: u32) -> Duration {
         let wanted = (self.ahead_tokens + u64::from(tokens)) as f64;
         let taken = self.taken_tokens.max(1) as f64;
-        let turns = wanted * self.hosts.clamp(1, HOSTS_WAITING_MAX) as f64 / taken;
+        let turns = wanted * self.hosts.clamp(1, WAITING_HOSTS_MAX) as f64 / taken;
         self.stats.turnover().mul_f64(turns)
     }
 }
 
 impl Demand {
-    fn patience(&self, stats: &EngineStats) -> Duration {
+    fn wait_limit(&self, stats: &EngineStats) -> Duration {
         let first_event = match self.need {
             Need::Memory { prompt_tokens, .. } => stats.first_event_bound(prompt_tokens),
             Need::Slot | Need::Copy { .. } => Duration::ZERO,
         };
         let left = self.objective.saturating_sub(first_event);
-        let less = (PATIENCE_OBJECTIVES_MAX - PATIENCE_OBJECTIVES_CAUTIOUS) * stats.caution();
-        left.min(self.objective.mul_f64(PATIENCE_OBJECTIVES_MAX - less))
+        let reduction = (MAX_WAIT_SHARE - CAUTIOUS_WAIT_SHARE) * stats.caution();
+        left.min(self.objective.mul_f64(MAX_WAIT_SHARE - reduction))
     }
 
     /// Whether it may start at `candidate`.
@@ -121,52 +121,52 @@
         }
         let unread = load.unread_tokens + prompt_tokens;
         load.requests < candidate.upstream.slots
-            && predicted_tokens(load.tokens, tokens, prompt_tokens) <= f64::from(memory_tokens)
+            && predicted_peak_tokens(load.tokens, tokens, prompt_tokens) <= f64::from(memory_tokens)
             && (load.unread_tokens == 0 || stats.first_event_bound(unread) <= self.objective)
     }
 }
 
 /// Memory that is taken at the peak of a newcomer beside what runs.
-fn predicted_tokens(running: u32, tokens: u32, prompt_tokens: u32) -> f64 {
+fn predicted_peak_tokens(running: u32, tokens: u32, prompt_tokens: u32) -> f64 {
     let is_short = tokens.saturating_sub(prompt_tokens) <= SHORT_OUTPUT_TOKENS;
-    let grown = if is_short { GROWN_SHARE } else { 1.0 };
-    f64::from(running) * grown + f64::from(tokens)
+    let used_share = if is_short { MEAN_USED_SHARE } else { 1.0 };
+    f64::from(running) * used_share + f64::from(tokens)
 }
 
 /// What becomes of a generation; `draw` gives random numbers from 0 to 1.
 pub fn decide(
     demand: &Demand,
-    line: &QueueState<'_>,
+    queue: &QueueState<'_>,
     candidates: &[Candidate],
     view: View<'_>,
     draw: impl FnMut() -> f64,
 ) -> Verdict {
-    if line.ahead_tokens == 0 {
-        let with_room = with_room(demand, candidates, line.stats);
+    if queue.ahead_tokens == 0 {
+        let with_room = with_room(demand, candidates, queue.stats);
         if let Some(candidate) = place::choose(demand.need, &with_room, view, draw) {
             return Verdict::Start(candidate);
         }
     }
-    let prospect = Prospect {
-        expected: line.expected_wait(place::tokens(demand.need)),
-        patience: demand.patience(line.stats),
+    let estimate = WaitEstimate {
+        expected: queue.expected_wait(place::tokens(demand.need)),
+        limit: demand.wait_limit(queue.stats),
     };
     let waits = match demand.waited {
-        None => prospect.expected < prospect.patience,
-        Some(waited) => waited < prospect.patience,
+        None => estimate.expected < estimate.limit,
+        Some(waited) => waited < estimate.limit,
     };
     match waits {
         true => Verdict::Wait,
-        false => Verdict::Refuse(prospect),
+        false => Verdict::Refuse(estimate),
     }
 }
 
 /// The candidates at which it may start; doubtful ones only where there is no other.
 fn with_room(demand: &Demand, candidates: &[Candidate], stats: &EngineStats) -> Vec<Candidate> {
-    let any_sound = candidates.iter().any(|candidate| !candidate.doubtful);
+    let any_healthy = candidates.iter().any(|candidate| !candidate.doubtful);
     candidates
         .iter()
-        .filter(|candidate| !(any_sound && candidate.doubtful))
+        .filter(|candidate| !(any_healthy && candidate.doubtful))
         .filter(|candidate| demand.has_room(candidate, stats))
         .cloned()
         .collect()
@@ -174,9 +174,9 @@
 
 /// When a refused caller should come back that has `time_left` and whose answer takes `run`; `draw` is
 /// from 0 to 1.
-pub fn return_after(time_left: Duration, run: Duration, expected: Duration, draw: f64) -> Duration {
+pub fn retry_after(time_left: Duration, run: Duration, expected: Duration, draw: f64) -> Duration {
     let latest = time_left.saturating_sub(run);
-    let share = RETURN_FROM + (1.0 - RETURN_FROM) * draw;
+    let share = RETRY_EARLIEST_SHARE + (1.0 - RETRY_EARLIEST_SHARE) * draw;
     latest.mul_f64(share).max(expected.min(latest))
 }
 
--- a/src/gateway/admit/tests.rs
+++ b/src/gateway/admit/tests.rs
@@ -8,9 +8,9 @@
 use super::QueueState;
 use super::Verdict;
 use super::decide;
-use super::return_after;
-use crate::gateway::admit::tests::crowd::Crowd;
-use crate::gateway::admit::tests::crowd::Policy;
+use super::retry_after;
+use crate::gateway::admit::tests::simulation::Policy;
+use crate::gateway::admit::tests::simulation::Simulation;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::enginestats::EngineStats;
@@ -25,7 +25,7 @@
 use crate::id::UpstreamId;
 use crate::id::VersionId;
 
-mod crowd;
+mod simulation;
 
 const MEMORY_TOKENS: u32 = 34_000;
 const OBJECTIVE: Duration = Duration::from_millis(1_800);
@@ -65,12 +65,16 @@
     }
 }
 
-pub(super) fn verdict(demand: &Demand, line: &QueueState<'_>, candidates: &[Candidate]) -> Verdict {
+pub(super) fn verdict(
+    demand: &Demand,
+    queue: &QueueState<'_>,
+    candidates: &[Candidate],
+) -> Verdict {
     let view = View {
         here: &DataCentre::new("north"),
         far_counts: FarCounts::Fresh,
     };
-    decide(demand, line, candidates, view, || 0.0)
+    decide(demand, queue, candidates, view, || 0.0)
 }
 
 fn report(waited: Option<Duration>) -> Demand {
@@ -90,7 +94,7 @@
 }
 
 /// The line of a host of six, with this much taken at all engines.
-fn line(stats: &EngineStats, ahead_tokens: u64, taken_tokens: u64) -> QueueState<'_> {
+fn queue(stats: &EngineStats, ahead_tokens: u64, taken_tokens: u64) -> QueueState<'_> {
     QueueState {
         ahead_tokens,
         taken_tokens,
@@ -114,7 +118,7 @@
     let stats = EngineStats::default();
     let verdict = verdict(
         &report(None),
-        &line(&stats, 0, 30_000),
+        &queue(&stats, 0, 30_000),
         &[running(7, 30_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Start(_)));
@@ -127,7 +131,7 @@
         need: need(30_000, 20_000),
         ..report(None)
     };
-    let verdict = verdict(&huge, &line(&stats, 0, 0), &[running(0, 0, 0)]);
+    let verdict = verdict(&huge, &queue(&stats, 0, 0), &[running(0, 0, 0)]);
     assert!(matches!(verdict, Verdict::Start(_)));
 }
 
@@ -136,7 +140,7 @@
     let stats = stats(Duration::from_secs(4));
     let verdict = verdict(
         &report(None),
-        &line(&stats, 0, 500_000),
+        &queue(&stats, 0, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Wait));
@@ -147,7 +151,7 @@
     let stats = stats(Duration::from_secs(10));
     let verdict = verdict(
         &report(None),
-        &line(&stats, 20_000, 500_000),
+        &queue(&stats, 20_000, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Refuse(_)));
@@ -159,18 +163,18 @@
     let waited = Some(Duration::from_millis(700));
     let verdict = verdict(
         &report(waited),
-        &line(&stats, 0, 500_000),
+        &queue(&stats, 0, 500_000),
         &[running(8, 33_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Refuse(_)));
 }
 
 #[test]
-fn it_does_not_pass_those_ahead_of_it() {
+fn it_does_not_overtake_the_queue() {
     let stats = stats(Duration::from_secs(1));
     let verdict = verdict(
         &report(None),
-        &line(&stats, 4_000, 500_000),
+        &queue(&stats, 4_000, 500_000),
         &[running(1, 4_000, 0)],
     );
     assert!(matches!(verdict, Verdict::Wait));
@@ -180,7 +184,7 @@
 fn a_short_generation_fits_beside_what_has_not_grown_yet() {
     let stats = EngineStats::default();
     let full = [running(8, 33_000, 0)];
-    let verdict = verdict(&flag(), &line(&stats, 0, 33_000), &full);
+    let verdict = verdict(&flag(), &queue(&stats, 0, 33_000), &full);
     assert!(matches!(verdict, Verdict::Start(_)));
 }
 
@@ -188,50 +192,50 @@
 fn prompts_are_not_queued_at_an_engine_beyond_the_objective() {
     let stats = EngineStats::default();
     let busy = [running(4, 12_000, 12_000)];
-    let verdict = verdict(&report(None), &line(&stats, 0, 12_000), &busy);
+    let verdict = verdict(&report(None), &queue(&stats, 0, 12_000), &busy);
     assert!(!matches!(verdict, Verdict::Start(_)));
 }
 
 #[test]
-fn a_doubtful_engine_is_no_way_out_of_a_crowd() {
+fn a_doubtful_engine_is_not_used_when_the_others_are_full() {
     let stats = EngineStats::default();
     let mut doubtful = running(1, 1_000, 0);
     doubtful.doubtful = true;
     let candidates = [running(8, 34_000, 0), doubtful];
-    let verdict = verdict(&report(None), &line(&stats, 0, 35_000), &candidates);
+    let verdict = verdict(&report(None), &queue(&stats, 0, 35_000), &candidates);
     assert!(!matches!(verdict, Verdict::Start(_)));
 }
 
 quickcheck! {
-    fn memory_is_never_promised_beyond_an_engines(loads: Vec<(u8, u16, u16)>, prompt: u16, output: u16) -> TestResult {
+    fn engine_memory_is_never_overcommitted(loads: Vec<(u8, u16, u16)>, prompt: u16, output: u16) -> TestResult {
         let stats = EngineStats::default();
         let candidates: Vec<Candidate> = loads
             .iter()
             .map(|(requests, tokens, unread)| running(u32::from(*requests), u32::from(*tokens), u32::from(*unread)))
             .collect();
         let demand = Demand { need: need(u32::from(prompt), 101 + u32::from(output)), ..report(None) };
-        let Verdict::Start(chosen) = verdict(&demand, &line(&stats, 0, 1), &candidates) else {
+        let Verdict::Start(chosen) = verdict(&demand, &queue(&stats, 0, 1), &candidates) else {
             return TestResult::discard();
         };
         let tokens = crate::gateway::place::tokens(demand.need);
         TestResult::from_bool(chosen.load.requests == 0 || chosen.load.tokens + tokens <= MEMORY_TOKENS)
     }
 
-    fn a_caller_is_never_told_to_return_too_late(left_ms: u16, run_ms: u16, expected_ms: u16, draw: u8) -> bool {
+    fn retry_after_leaves_time_for_the_answer(left_ms: u16, run_ms: u16, expected_ms: u16, draw: u8) -> bool {
         let millis = |ms: u16| Duration::from_millis(u64::from(ms));
-        let again = return_after(millis(left_ms), millis(run_ms), millis(expected_ms), f64::from(draw) / 255.0);
+        let again = retry_after(millis(left_ms), millis(run_ms), millis(expected_ms), f64::from(draw) / 255.0);
         again <= millis(left_ms).saturating_sub(millis(run_ms))
     }
 }
 
 /// Long answers at four times the rate that the engines carry with ease, for 9 s.
-fn surge_of_long_answers(policy: Policy) -> crowd::Outcome {
-    Crowd::new(policy)
+fn surge_of_long_answers(policy: Policy) -> simulation::Outcome {
+    Simulation::new(policy)
         .engines(6)
         .reports_per_s(11.0)
         .flags_per_s(4.0)
-        .lasting_s(9)
-        .play()
+        .duration_s(9)
+        .run()
 }
 
 #[test]
@@ -267,29 +271,29 @@
 
 #[test]
 fn at_a_usual_load_nothing_is_refused_or_waits() {
-    let decided = Crowd::new(Policy::Decide)
+    let decided = Simulation::new(Policy::Decide)
         .engines(6)
         .reports_per_s(2.3)
         .flags_per_s(3.2)
-        .lasting_s(20)
-        .play();
+        .duration_s(20)
+        .run();
     assert_eq!(decided.refused, 0, "{decided:?}");
     assert_eq!(decided.waited, 0, "{decided:?}");
 }
 
 #[test]
-fn engines_that_go_in_a_surge_leave_no_backlog_behind() {
-    let crowd = |policy| {
-        Crowd::new(policy)
+fn engines_lost_in_a_surge_leave_no_backlog() {
+    let simulation = |policy| {
+        Simulation::new(policy)
             .engines(6)
             .lose_engines_at_s(3, 2)
             .reports_per_s(5.0)
             .flags_per_s(6.0)
-            .lasting_s(9)
-            .play()
+            .duration_s(9)
+            .run()
     };
-    let at_once = crowd(Policy::SendAtOnce);
-    let decided = crowd(Policy::Decide);
+    let at_once = simulation(Policy::SendAtOnce);
+    let decided = simulation(Policy::Decide);
     assert!(
         decided.in_time_reports >= at_once.in_time_reports,
         "{decided:?} {at_once:?}"
--- a/src/gateway/admit/tests/crowd.rs
+++ b/src/gateway/admit/tests/simulation.rs
@@ -28,11 +28,11 @@
 /// Time between two looks at the engines and the line.
 const TICK: Duration = Duration::from_millis(10);
 /// A caller leaves after a gap of this time.
-const CALLER_PATIENCE: Duration = Duration::from_secs(7);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(7);
 /// Longest pause between two tokens that is still in time.
 const PAUSE_MAX: Duration = Duration::from_millis(180);
 /// What runs at the end of the arrivals has this time to end.
-const AFTERMATH: Duration = Duration::from_secs(30);
+const DRAIN_TIME: Duration = Duration::from_secs(30);
 
 /// How generations are placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -98,35 +98,35 @@
 }
 
 /// The arrivals, and what they meet.
-pub(super) struct Crowd {
+pub(super) struct Simulation {
     policy: Policy,
     engines: Vec<Option<EngineModel>>,
     loads: Vec<Load>,
     runs: BTreeMap<AttemptId, Run>,
-    line: Vec<(Generation, bool)>,
+    queue: Vec<(Generation, bool)>,
     stats: EngineStats,
     outcome: Outcome,
     started: u128,
     reports_per_s: f64,
     flags_per_s: f64,
-    lasting: Duration,
+    duration: Duration,
     loss: Option<(Time, usize)>,
 }
 
-impl Crowd {
+impl Simulation {
     pub(super) fn new(policy: Policy) -> Self {
-        Crowd {
+        Simulation {
             policy,
             engines: Vec::new(),
             loads: Vec::new(),
             runs: BTreeMap::new(),
-            line: Vec::new(),
+            queue: Vec::new(),
             stats: EngineStats::default(),
             outcome: Outcome::default(),
             started: 0,
             reports_per_s: 0.0,
             flags_per_s: 0.0,
-            lasting: Duration::ZERO,
+            duration: Duration::ZERO,
             loss: None,
         }
     }
@@ -158,8 +158,8 @@
         self
     }
 
-    pub(super) fn lasting_s(mut self, seconds: u64) -> Self {
-        self.lasting = Duration::from_secs(seconds);
+    pub(super) fn duration_s(mut self, seconds: u64) -> Self {
+        self.duration = Duration::from_secs(seconds);
         self
     }
 
@@ -168,11 +168,11 @@
         self
     }
 
-    pub(super) fn play(mut self) -> Outcome {
+    pub(super) fn run(mut self) -> Outcome {
         let mut now = Time::ZERO;
         let mut due = (0.0, 0.0);
-        let end = Time::ZERO + self.lasting;
-        while now < end + AFTERMATH {
+        let end = Time::ZERO + self.duration;
+        while now < end + DRAIN_TIME {
             if now < end {
                 due.0 += self.reports_per_s * TICK.as_secs_f64();
                 due.1 += self.flags_per_s * TICK.as_secs_f64();
@@ -186,9 +186,9 @@
                 self.arrive(now, Kind::Flag);
             }
             self.lose_engines(now);
-            self.serve_line(now);
+            self.serve_queue(now);
             self.step_engines(now);
-            self.leave(now);
+            self.cancel_stalled(now);
             now = now + TICK;
         }
         self.outcome
@@ -211,7 +211,7 @@
             output_tokens,
             arrived: now,
         };
-        self.line.push((generation, false));
+        self.queue.push((generation, false));
     }
 
     fn lose_engines(&mut self, now: Time) {
@@ -238,18 +238,18 @@
     }
 
     /// The flags are more urgent than the reports.
-    fn serve_line(&mut self, now: Time) {
-        let mut line = std::mem::take(&mut self.line);
-        line.sort_by_key(|(generation, _)| (generation.kind == Kind::Report, generation.arrived));
+    fn serve_queue(&mut self, now: Time) {
+        let mut queue = std::mem::take(&mut self.queue);
+        queue.sort_by_key(|(generation, _)| (generation.kind == Kind::Report, generation.arrived));
         let mut ahead_tokens = 0;
-        for (generation, has_waited) in line {
+        for (generation, has_waited) in queue {
             let candidates = self.candidates();
             match self.decide(now, &generation, has_waited, ahead_tokens, &candidates) {
                 Verdict::Start(chosen) => self.start(now, generation, &chosen),
                 Verdict::Wait => {
                     self.outcome.waited += u32::from(!has_waited);
                     ahead_tokens += u64::from(place::tokens(generation.need()));
-                    self.line.push((generation, true));
+                    self.queue.push((generation, true));
                 }
                 Verdict::Refuse(_) => self.outcome.refused += 1,
             }
@@ -269,14 +269,14 @@
             objective: OBJECTIVE,
             waited: has_waited.then(|| now.since(generation.arrived)),
         };
-        let line = QueueState {
+        let queue = QueueState {
             ahead_tokens,
             taken_tokens: self.loads.iter().map(|load| u64::from(load.tokens)).sum(),
             hosts: 1,
             stats: &self.stats,
         };
         match self.policy {
-            Policy::Decide => verdict(&demand, &line, candidates),
+            Policy::Decide => verdict(&demand, &queue, candidates),
             Policy::SendAtOnce => {
                 let view = View {
                     here: &DataCentre::new("north"),
@@ -393,11 +393,11 @@
     }
 
     /// Callers of streams that stand still give up.
-    fn leave(&mut self, now: Time) {
+    fn cancel_stalled(&mut self, now: Time) {
         let silent: Vec<AttemptId> = self
             .runs
             .iter()
-            .filter(|(_, run)| now.since(run.last) > CALLER_PATIENCE)
+            .filter(|(_, run)| now.since(run.last) > CALLER_TIMEOUT)
             .map(|(attempt, _)| *attempt)
             .collect();
         for attempt in silent {
--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -14,8 +14,8 @@
 use crate::event::EventCode;
 use crate::gateway::admit;
 use crate::gateway::admit::Demand;
-use crate::gateway::admit::Prospect;
 use crate::gateway::admit::Verdict;
+use crate::gateway::admit::WaitEstimate;
 use crate::gateway::enginestats::EngineStats;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
@@ -34,11 +34,11 @@
 use crate::refusal::Refusal;
 
 /// How often one that waits looks for room: hosts tell each other what ended four times a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One that waits.
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueueEntry {
     number: u64,
     service: ServiceId,
     rank: u8,
@@ -49,7 +49,7 @@
 /// Those that wait, what runs of each customer, and the stats of engines.
 #[derive(Debug, Default)]
 pub struct Queues {
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueueEntry>,
     running_tokens: HashMap<CustomerId, u64>,
     next_number: u64,
     /// What was observed of engines.
@@ -65,7 +65,7 @@
         tokens: u32,
     ) -> u64 {
         self.next_number += 1;
-        self.waiting.push(Waiting {
+        self.waiting.push(QueueEntry {
             number: self.next_number,
             service: service.clone(),
             rank,
@@ -79,15 +79,15 @@
         self.waiting.retain(|other| other.number != number);
     }
 
-    fn running(&self, customer: Option<&CustomerId>) -> u64 {
+    fn customer_tokens(&self, customer: Option<&CustomerId>) -> u64 {
         let running = customer.and_then(|customer| self.running_tokens.get(customer));
         running.copied().unwrap_or(0)
     }
 
     /// Tokens needed by those that go before `number`.
     fn ahead_tokens(&self, number: u64) -> u64 {
-        let key = |waiting: &Waiting| {
-            let running = self.running(waiting.customer.as_ref());
+        let key = |waiting: &QueueEntry| {
+            let running = self.customer_tokens(waiting.customer.as_ref());
             (waiting.rank, running, waiting.number)
         };
         let Some(own) = self.waiting.iter().find(|other| other.number == number) else {
@@ -102,11 +102,11 @@
             .sum()
     }
 
-    fn start(&mut self, customer: &CustomerId, tokens: u32) {
+    fn add_running(&mut self, customer: &CustomerId, tokens: u32) {
         *self.running_tokens.entry(customer.clone()).or_default() += u64::from(tokens);
     }
 
-    fn end(&mut self, customer: &CustomerId, tokens: u32) {
+    fn remove_running(&mut self, customer: &CustomerId, tokens: u32) {
         let Some(running) = self.running_tokens.get_mut(customer) else {
             return;
         };
@@ -122,21 +122,21 @@
 pub struct QueueHandle(Arc<Mutex<Queues>>);
 
 impl QueueHandle {
-    /// Runs `use_lines` on the lines.
-    pub fn with<T>(&self, use_lines: impl FnOnce(&mut Queues) -> T) -> T {
-        use_lines(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Runs `use_queues` on the lines.
+    pub fn with<T>(&self, use_queues: impl FnOnce(&mut Queues) -> T) -> T {
+        use_queues(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Counts a generation as running for its customer until the guard is dropped.
     pub fn track_running(&self, customer: Option<&CustomerId>, tokens: u32) -> RunningGuard {
         if let Some(customer) = customer {
-            self.with(|lines| lines.start(customer, tokens));
+            self.with(|queues| queues.add_running(customer, tokens));
         }
         RunningGuard {
-            board: self.clone(),
+            queues: self.clone(),
             customer: customer.cloned(),
             tokens,
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
@@ -144,49 +144,50 @@
 /// What a running generation counts for its customer.
 #[derive(Debug)]
 pub struct RunningGuard {
-    board: QueueHandle,
+    queues: QueueHandle,
     customer: Option<CustomerId>,
     tokens: u32,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl RunningGuard {
     /// The generation has ended by itself. One that broke or never ran tells nothing of how long memory is
     /// taken.
     pub fn complete(&self) {
-        let time = self.began.elapsed();
-        self.board
-            .with(|lines| lines.stats.record_end(self.tokens, time));
+        let time = self.started_at.elapsed();
+        self.queues
+            .with(|queues| queues.stats.record_end(self.tokens, time));
     }
 }
 
 impl Drop for RunningGuard {
     fn drop(&mut self) {
         if let Some(customer) = &self.customer {
-            self.board.with(|lines| lines.end(customer, self.tokens));
+            self.queues
+                .with(|queues| queues.remove_running(customer, self.tokens));
         }
     }
 }
 
 /// A place in the line, given up when it is dropped.
 struct Ticket {
-    board: QueueHandle,
+    queues: QueueHandle,
     number: u64,
 }
 
 impl Ticket {
     fn join(shared: &Shared, admitted: &Admitted, tokens: u32) -> Self {
-        let board = shared.lines().clone();
+        let queues = shared.lines().clone();
         let customer = admitted.customer.as_ref();
-        let number =
-            board.with(|lines| lines.join(&admitted.service, admitted.priority, customer, tokens));
-        Ticket { board, number }
+        let number = queues
+            .with(|queues| queues.join(&admitted.service, admitted.priority, customer, tokens));
+        Ticket { queues, number }
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.board.with(|lines| lines.leave(self.number));
+        self.queues.with(|queues| queues.leave(self.number));
     }
 }
 
@@ -204,9 +205,9 @@
     let tokens = place::tokens(need);
     let ticket = Ticket::join(shared, admitted, tokens);
     let mut waited = None;
-    let mut has_asked = false;
+    let mut has_refreshed = false;
     let mut breadth = Breadth::at_first(shared, &admitted.service);
-    let mut reserved: Option<Reserved> = None;
+    let mut reservation: Option<Reservation> = None;
     loop {
         // Upstreams may crash under a repeat while this one waits.
         if let Some(refusal) = shared.held_back(admitted) {
@@ -214,7 +215,7 @@
         }
         shared.look_for_suspension();
         if shared.is_waking() {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
         let mut candidates = serve::candidates(shared, admitted, avoid, breadth);
@@ -224,22 +225,22 @@
                 Breadth::All => return Ok(None),
             }
         }
-        if let Some(reserved) = &reserved {
-            reserved.leave_out(&mut candidates);
+        if let Some(reservation) = &reservation {
+            reservation.subtract_from(&mut candidates);
         }
         let demand = Demand {
             need,
             objective: admitted.route.objective,
             waited,
         };
-        let believed = Believed::new(shared, &ticket, &candidates);
-        let verdict = believed.decide(shared, &demand, &candidates);
+        let inputs = DecisionInputs::new(shared, &ticket, &candidates);
+        let verdict = inputs.decide(shared, &demand, &candidates);
         let is_sound = matches!(&verdict, Verdict::Start(candidate) if !candidate.doubtful);
         if !is_sound && std::mem::replace(&mut breadth, Breadth::All) == Breadth::Few {
             continue;
         }
-        if !has_asked && rests_on_old_words(shared, &verdict) {
-            has_asked = true;
+        if !has_refreshed && uses_stale_loads(shared, &verdict) {
+            has_refreshed = true;
             shared.ask_far_loads().await;
             continue;
         }
@@ -251,37 +252,37 @@
         match verdict {
             Verdict::Start(candidate) => return Ok(Some(candidate)),
             Verdict::Wait => {
-                if reserved.is_none() {
-                    believed.note(shared, admitted, "waits");
-                    reserved = Reserved::at_best(shared, need, &candidates);
+                if reservation.is_none() {
+                    inputs.log(shared, admitted, "waits");
+                    reservation = Reservation::reserve(shared, need, &candidates);
                 }
             }
-            Verdict::Refuse(prospect) => {
-                believed.note(shared, admitted, "refused");
-                return Err(refusal(shared, admitted, prospect));
+            Verdict::Refuse(estimate) => {
+                inputs.log(shared, admitted, "refused");
+                return Err(refusal(shared, admitted, estimate));
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         waited = Some(admitted.arrived.elapsed());
     }
 }
 
 /// Room that one which waits has others leave to it. Short generations of other hosts would else take what becomes
 /// free, again and again, and long ones never start.
-struct Reserved {
+struct Reservation {
     upstream: InstanceId,
     tokens: u32,
     _occupied: Occupied,
 }
 
-impl Reserved {
-    fn at_best(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Self> {
+impl Reservation {
+    fn reserve(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Self> {
         let best = serve::choose(shared, need, candidates)?;
         let tokens = place::tokens(need);
         let upstream = best.upstream.id.clone();
         let occupied = shared.loads().occupy(&upstream, tokens, 0);
         shared.tell_news();
-        Some(Reserved {
+        Some(Reservation {
             upstream,
             tokens,
             _occupied: occupied,
@@ -289,7 +290,7 @@
     }
 
     /// Its own reservation is not in its way.
-    fn leave_out(&self, candidates: &mut [Candidate]) {
+    fn subtract_from(&self, candidates: &mut [Candidate]) {
         let own = candidates
             .iter_mut()
             .find(|candidate| candidate.upstream.id == self.upstream);
@@ -302,7 +303,7 @@
 
 /// Whether a verdict rests on what was heard of other data centres a while ago: to start there, or to start nowhere.
 /// Hosts that go by old words meet each other at one engine, where each waits for the other's prompt.
-fn rests_on_old_words(shared: &Shared, verdict: &Verdict) -> bool {
+fn uses_stale_loads(shared: &Shared, verdict: &Verdict) -> bool {
     let leaves_home = match verdict {
         Verdict::Start(candidate) => {
             candidate.upstream.data_centre != shared.settings().data_centre
@@ -313,7 +314,7 @@
 }
 
 /// What a decision about one that waits rests on.
-struct Believed {
+struct DecisionInputs {
     ahead_tokens: u64,
     taken_tokens: u64,
     hosts: usize,
@@ -321,13 +322,13 @@
     stats: EngineStats,
 }
 
-impl Believed {
+impl DecisionInputs {
     fn new(shared: &Shared, ticket: &Ticket, candidates: &[Candidate]) -> Self {
         let (ahead_tokens, stats) = shared
             .lines()
-            .with(|lines| (lines.ahead_tokens(ticket.number), lines.stats.clone()));
+            .with(|queues| (queues.ahead_tokens(ticket.number), queues.stats.clone()));
         let taken = candidates.iter();
-        Believed {
+        DecisionInputs {
             ahead_tokens,
             taken_tokens: taken
                 .map(|candidate| u64::from(candidate.load.tokens))
@@ -354,7 +355,7 @@
         )
     }
 
-    fn note(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
+    fn log(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
         let line = admitted.line(shared, EventCode::RequestQueued);
         line.with("outcome", outcome)
             .with("ahead_tokens", self.ahead_tokens)
@@ -367,14 +368,14 @@
     }
 }
 
-fn refusal(shared: &Shared, admitted: &Admitted, prospect: Prospect) -> Refusal {
+fn refusal(shared: &Shared, admitted: &Admitted, estimate: WaitEstimate) -> Refusal {
     let left = admitted.time_left();
     let run = stream::expected_run(shared, admitted);
-    let again = admit::return_after(left, run, prospect.expected, rand::random());
+    let again = admit::retry_after(left, run, estimate.expected, rand::random());
     let message = format!(
         "room is expected in {} ms, and it can wait {} ms",
-        prospect.expected.as_millis(),
-        prospect.patience.as_millis()
+        estimate.expected.as_millis(),
+        estimate.limit.as_millis()
     );
     Refusal::not_run(Code::Overloaded, message).retry_after_ms(again.as_millis() as u64)
 }
--- a/src/gateway/queue/tests.rs
+++ b/src/gateway/queue/tests.rs
@@ -2,7 +2,7 @@
 
 use super::QueueHandle;
 use super::Queues;
-use super::Reserved;
+use super::Reservation;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::instance::InstanceId;
@@ -41,10 +41,10 @@
 
 // Long generations that waited saw short ones of other hosts take all that became free.
 #[test]
-fn room_that_is_reserved_is_taken_for_others_and_free_for_who_waits() {
+fn reserved_room_is_taken_for_others_and_free_for_its_holder() {
     let board = LoadBoard::default();
     let _running = board.occupy(&engine(), 18_000, 0);
-    let reserved = Reserved {
+    let reservation = Reservation {
         upstream: engine(),
         tokens: 6_000,
         _occupied: board.occupy(&engine(), 6_000, 0),
@@ -52,8 +52,8 @@
     let for_others = candidate(&board).load;
     let mut own = [candidate(&board)];
 
-    reserved.leave_out(&mut own);
-    drop(reserved);
+    reservation.subtract_from(&mut own);
+    drop(reservation);
 
     let of = |requests, tokens| Load {
         requests,
@@ -69,55 +69,55 @@
     ServiceId::new("inspection")
 }
 
-fn join(lines: &mut Queues, rank: u8, customer: &str) -> u64 {
-    lines.join(&service(), rank, Some(&CustomerId::new(customer)), 1_000)
+fn join(queues: &mut Queues, rank: u8, customer: &str) -> u64 {
+    queues.join(&service(), rank, Some(&CustomerId::new(customer)), 1_000)
 }
 
 #[test]
-fn who_came_first_goes_first() {
-    let mut lines = Queues::default();
-    let first = join(&mut lines, 1, "a");
-    let second = join(&mut lines, 1, "b");
-    assert_eq!(lines.ahead_tokens(first), 0);
-    assert_eq!(lines.ahead_tokens(second), 1_000);
-    lines.leave(first);
-    assert_eq!(lines.ahead_tokens(second), 0);
+fn generations_of_one_rank_go_in_arrival_order() {
+    let mut queues = Queues::default();
+    let first = join(&mut queues, 1, "a");
+    let second = join(&mut queues, 1, "b");
+    assert_eq!(queues.ahead_tokens(first), 0);
+    assert_eq!(queues.ahead_tokens(second), 1_000);
+    queues.leave(first);
+    assert_eq!(queues.ahead_tokens(second), 0);
 }
 
 #[test]
-fn a_more_urgent_rank_goes_before_those_that_came_earlier() {
-    let mut lines = Queues::default();
-    let report = join(&mut lines, 1, "a");
-    let flag = join(&mut lines, 0, "a");
-    assert_eq!(lines.ahead_tokens(flag), 0);
-    assert_eq!(lines.ahead_tokens(report), 1_000);
+fn a_more_urgent_rank_goes_before_earlier_arrivals() {
+    let mut queues = Queues::default();
+    let report = join(&mut queues, 1, "a");
+    let flag = join(&mut queues, 0, "a");
+    assert_eq!(queues.ahead_tokens(flag), 0);
+    assert_eq!(queues.ahead_tokens(report), 1_000);
 }
 
 #[test]
-fn a_customer_of_whom_much_runs_waits_behind_the_others() {
+fn the_customer_with_most_running_tokens_goes_last() {
     let board = QueueHandle::default();
     let large = CustomerId::new("large");
     let share = board.track_running(Some(&large), 9_000);
     let (of_large, of_small) =
-        board.with(|lines| (join(lines, 1, "large"), join(lines, 1, "small")));
-    assert_eq!(board.with(|lines| lines.ahead_tokens(of_small)), 0);
-    assert_eq!(board.with(|lines| lines.ahead_tokens(of_large)), 1_000);
+        board.with(|queues| (join(queues, 1, "large"), join(queues, 1, "small")));
+    assert_eq!(board.with(|queues| queues.ahead_tokens(of_small)), 0);
+    assert_eq!(board.with(|queues| queues.ahead_tokens(of_large)), 1_000);
     drop(share);
-    assert_eq!(board.with(|lines| lines.ahead_tokens(of_large)), 0);
+    assert_eq!(board.with(|queues| queues.ahead_tokens(of_large)), 0);
 }
 
 #[test]
-fn lines_of_other_services_are_not_waited_behind() {
-    let mut lines = Queues::default();
-    join(&mut lines, 0, "a");
-    let other = lines.join(&ServiceId::new("other"), 1, None, 1_000);
-    assert_eq!(lines.ahead_tokens(other), 0);
+fn services_have_separate_queues() {
+    let mut queues = Queues::default();
+    join(&mut queues, 0, "a");
+    let other = queues.join(&ServiceId::new("other"), 1, None, 1_000);
+    assert_eq!(queues.ahead_tokens(other), 0);
 }
 
 #[test]
-fn only_a_run_that_completes_tells_the_pace() {
+fn only_completed_runs_change_the_turnover() {
     let board = QueueHandle::default();
-    let turnover = || board.with(|lines| lines.stats.turnover());
+    let turnover = || board.with(|queues| queues.stats.turnover());
     let before = turnover();
     drop(board.track_running(None, 50_000));
     assert_eq!(turnover(), before);
