--- a/src/gateway/movequeue.rs
+++ b/src/gateway/movequeue.rs
@@ -26,11 +26,11 @@
 use crate::id::HostId;
 
 /// What a peer said it has to move counts for this long.
-const PEER_WORD_LASTS: Duration = Duration::from_millis(900);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(900);
 /// Other hosts' words on what they have to move arrive within this time of the notice.
-const FIRST_WORDS: Duration = Duration::from_millis(25);
+const FIRST_REPORTS_WAIT: Duration = Duration::from_millis(25);
 /// How often it is looked whose turn it is.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What a host has still to move off one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 /// This host's runs that leave one engine, in their order.
 #[derive(Debug, Default)]
-struct Line {
+struct Queue {
     tickets: Vec<u64>,
     moving: Option<u64>,
     to: Option<InstanceId>,
@@ -56,7 +56,7 @@
 /// Who has what to move off which engine.
 #[derive(Debug, Default)]
 pub struct MoveQueues {
-    own: BTreeMap<InstanceId, Line>,
+    own: BTreeMap<InstanceId, Queue>,
     peers: HashMap<HostId, (Time, Vec<PendingMoves>)>,
     next_ticket: u64,
 }
@@ -65,89 +65,89 @@
     /// What this host has still to move, for its peers.
     pub fn pending(&self) -> Vec<PendingMoves> {
         let own = self.own.iter();
-        own.map(|(upstream, line)| PendingMoves {
+        own.map(|(upstream, queue)| PendingMoves {
             upstream: upstream.clone(),
-            runs: line.tickets.len() as u32,
-            is_moving: line.moving.is_some(),
-            to: line.to.clone(),
+            runs: queue.tickets.len() as u32,
+            is_moving: queue.moving.is_some(),
+            to: queue.to.clone(),
         })
         .collect()
     }
 
     /// What a peer has still to move.
-    pub fn receive(&mut self, now: Time, host: &HostId, to_move: Vec<PendingMoves>) {
-        if to_move.is_empty() {
+    pub fn receive(&mut self, now: Time, host: &HostId, pending: Vec<PendingMoves>) {
+        if pending.is_empty() {
             self.peers.remove(host);
         } else {
-            self.peers.insert(host.clone(), (now, to_move));
+            self.peers.insert(host.clone(), (now, pending));
         }
     }
 
     fn join(&mut self, upstream: &InstanceId) -> u64 {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let line = self.own.entry(upstream.clone()).or_default();
-        line.tickets.push(ticket);
+        let queue = self.own.entry(upstream.clone()).or_default();
+        queue.tickets.push(ticket);
         ticket
     }
 
     /// The ticket's run is being moved from now on.
     fn begin(&mut self, upstream: &InstanceId, ticket: u64) {
-        if let Some(line) = self.own.get_mut(upstream) {
-            line.moving = Some(ticket);
+        if let Some(queue) = self.own.get_mut(upstream) {
+            queue.moving = Some(ticket);
         }
     }
 
     /// The run that is being moved goes to `to`.
     fn set_destination(&mut self, upstream: &InstanceId, ticket: u64, to: &InstanceId) {
-        let line = self.own.get_mut(upstream);
-        if let Some(line) = line.filter(|line| line.moving == Some(ticket)) {
-            line.to = Some(to.clone());
+        let queue = self.own.get_mut(upstream);
+        if let Some(queue) = queue.filter(|queue| queue.moving == Some(ticket)) {
+            queue.to = Some(to.clone());
         }
     }
 
     /// Where runs of other engines than `source` are being copied to now. Their links take one copy
     /// after another, and a run that was stopped would wait behind the others' copies.
     pub fn busy_destinations(&self, now: Time, source: &InstanceId) -> BTreeSet<InstanceId> {
-        let heard = self.peers.values();
-        let peers = heard
-            .filter(|(at, _)| now.since(*at) < PEER_WORD_LASTS)
-            .flat_map(|(_, to_move)| to_move)
-            .filter(|to_move| to_move.upstream != *source)
-            .filter_map(|to_move| to_move.to.clone());
+        let reports = self.peers.values();
+        let peers = reports
+            .filter(|(at, _)| now.since(*at) < PEER_REPORT_TTL)
+            .flat_map(|(_, pending)| pending)
+            .filter(|pending| pending.upstream != *source)
+            .filter_map(|pending| pending.to.clone());
         let own = self.own.iter().filter(|(upstream, _)| *upstream != source);
         peers
-            .chain(own.filter_map(|(_, line)| line.to.clone()))
+            .chain(own.filter_map(|(_, queue)| queue.to.clone()))
             .collect()
     }
 
     fn leave(&mut self, upstream: &InstanceId, ticket: u64) {
-        let Some(line) = self.own.get_mut(upstream) else {
+        let Some(queue) = self.own.get_mut(upstream) else {
             return;
         };
-        line.tickets.retain(|other| *other != ticket);
-        if line.moving == Some(ticket) {
-            line.moving = None;
-            line.to = None;
+        queue.tickets.retain(|other| *other != ticket);
+        if queue.moving == Some(ticket) {
+            queue.moving = None;
+            queue.to = None;
         }
-        if line.tickets.is_empty() {
+        if queue.tickets.is_empty() {
             self.own.remove(upstream);
         }
     }
 
     /// Whether it is the turn of a ticket of `host`.
-    fn is_turn(&self, now: Time, host: &HostId, upstream: &InstanceId, ticket: u64) -> bool {
-        let Some(line) = self.own.get(upstream) else {
+    fn may_begin(&self, now: Time, host: &HostId, upstream: &InstanceId, ticket: u64) -> bool {
+        let Some(queue) = self.own.get(upstream) else {
             return true;
         };
-        if line.tickets.first() != Some(&ticket) || line.moving.is_some() {
+        if queue.tickets.first() != Some(&ticket) || queue.moving.is_some() {
             return false;
         }
         let live = self.peers.iter();
-        let live = live.filter(|(_, (at, _))| now.since(*at) < PEER_WORD_LASTS);
-        let mut before = live.flat_map(|(peer, (_, to_move))| {
-            let of_engine = to_move.iter().filter(|word| word.upstream == *upstream);
-            of_engine.filter(move |word| word.is_moving || (peer < host && word.runs > 0))
+        let live = live.filter(|(_, (at, _))| now.since(*at) < PEER_REPORT_TTL);
+        let mut before = live.flat_map(|(peer, (_, pending))| {
+            let of_engine = pending.iter().filter(|moves| moves.upstream == *upstream);
+            of_engine.filter(move |moves| moves.is_moving || (peer < host && moves.runs > 0))
         });
         before.next().is_none()
     }
@@ -158,13 +158,13 @@
 pub struct MoveQueueHandle(Arc<Mutex<MoveQueues>>);
 
 impl MoveQueueHandle {
-    fn turns(&self) -> MutexGuard<'_, MoveQueues> {
+    fn lock(&self) -> MutexGuard<'_, MoveQueues> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `use_turns` on the turns.
-    pub fn with<T>(&self, use_turns: impl FnOnce(&mut MoveQueues) -> T) -> T {
-        use_turns(&mut self.turns())
+    /// Runs `use_queues` on the turns.
+    pub fn with<T>(&self, use_queues: impl FnOnce(&mut MoveQueues) -> T) -> T {
+        use_queues(&mut self.lock())
     }
 }
 
@@ -179,7 +179,7 @@
 impl Ticket {
     /// Joins the line of `upstream`.
     pub fn join(shared: &Shared, upstream: &InstanceId) -> Self {
-        let number = shared.turns().with(|turns| turns.join(upstream));
+        let number = shared.turns().with(|queues| queues.join(upstream));
         shared.tell_news();
         Ticket {
             shared: shared.clone(),
@@ -190,29 +190,29 @@
 
     /// Tells the other hosts where the run goes.
     pub fn set_destination(&self, to: &InstanceId) {
-        let turns = self.shared.turns();
-        turns.with(|turns| turns.set_destination(&self.upstream, self.number, to));
+        let queues = self.shared.turns();
+        queues.with(|queues| queues.set_destination(&self.upstream, self.number, to));
         self.shared.tell_news();
     }
 
-    /// Waits for the turn, or until `patience_ends`.
-    pub async fn wait(self, patience_ends: Instant) -> Self {
-        tokio::time::sleep(FIRST_WORDS).await;
-        while Instant::now() < patience_ends && !self.is_turn() {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+    /// Waits for the turn, or until `deadline`.
+    pub async fn wait(self, deadline: Instant) -> Self {
+        tokio::time::sleep(FIRST_REPORTS_WAIT).await;
+        while Instant::now() < deadline && !self.may_begin() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let turns = self.shared.turns();
-        turns.with(|turns| turns.begin(&self.upstream, self.number));
+        let queues = self.shared.turns();
+        queues.with(|queues| queues.begin(&self.upstream, self.number));
         self.shared.tell_news();
         self
     }
 
-    fn is_turn(&self) -> bool {
+    fn may_begin(&self) -> bool {
         let now = self.shared.now();
         let host = &self.shared.settings().host;
         self.shared
             .turns()
-            .with(|turns| turns.is_turn(now, host, &self.upstream, self.number))
+            .with(|queues| queues.may_begin(now, host, &self.upstream, self.number))
     }
 }
 
@@ -222,7 +222,7 @@
         let number = self.number;
         self.shared
             .turns()
-            .with(|turns| turns.leave(upstream, number));
+            .with(|queues| queues.leave(upstream, number));
         self.shared.tell_news();
     }
 }
