--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -20,12 +20,12 @@
 use crate::id::HostId;
 
 /// Part of what an upstream bears that is shared out. The rest is for hosts that count some of the others as gone.
-const SHARED_OUT: f64 = 0.8;
+const ALLOCATED_SHARE: f64 = 0.8;
 /// What is allowed in a second is counted over this time, as requests of different hosts are under way for different
 /// times.
 const WINDOW: Duration = Duration::from_millis(1_100);
 /// A host hears the others of its data centre within this time of its start.
-const KNOWS_OTHERS_AFTER: Duration = Duration::from_secs(2);
+const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
 /// What is known of the host that asks, and of the others.
 #[derive(Debug, Clone, Copy)]
@@ -52,19 +52,19 @@
 }
 
 /// Requests that a host may send to a cold upstream in [`WINDOW`].
-pub fn share(sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> usize {
-    if sender.uptime < KNOWS_OTHERS_AFTER || sender.data_centre != cold.data_centre {
+pub fn quota(sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> usize {
+    if sender.uptime < PEER_DISCOVERY_TIME || sender.data_centre != cold.data_centre {
         return 0;
     }
     // One that bears a single request may get it.
-    let shared_out = ((cold.requests_per_s * SHARED_OUT) as usize).max(1);
+    let allocated = ((cold.requests_per_s * ALLOCATED_SHARE) as usize).max(1);
     let hosts = sender.peers.len() + 1;
-    if hosts <= shared_out {
-        return shared_out / hosts;
+    if hosts <= allocated {
+        return allocated / hosts;
     }
     let others = sender.peers.iter().map(HostId::as_str);
     let before = rendezvous::count_before(sender.host.as_str(), others, cold.upstream.as_str());
-    usize::from(before < shared_out)
+    usize::from(before < allocated)
 }
 
 /// What this host sent to cold upstreams.
@@ -77,11 +77,11 @@
     /// Whether this host may send one request more to a cold upstream.
     pub fn allows(&self, now: Time, sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> bool {
         let sent = self.sent.get(cold.upstream);
-        let of_late = sent.map_or(0, |sent| {
+        let recent_requests = sent.map_or(0, |sent| {
             let recent = |at: &&Time| now.since(**at) < WINDOW;
             sent.iter().filter(recent).count()
         });
-        of_late < share(sender, cold)
+        recent_requests < quota(sender, cold)
     }
 
     /// A request goes to a cold upstream.
--- a/src/gateway/cold/tests.rs
+++ b/src/gateway/cold/tests.rs
@@ -8,7 +8,7 @@
 use super::ColdUpstream;
 use super::Sender;
 use super::WINDOW;
-use super::share;
+use super::quota;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::id::DataCentre;
@@ -17,15 +17,15 @@
 
 /// What a cold upstream tolerates in a second, and the bound beyond which it is broken.
 const TOLERATED_PER_S: f64 = 25.0;
-const BOUND: usize = 42;
+const BOUND_PER_S: usize = 42;
 /// Older than a host that has just started.
-const OLD: Duration = Duration::from_secs(60);
+const ESTABLISHED_UPTIME: Duration = Duration::from_secs(60);
 /// Seconds that are drawn for each size of a data centre.
 const SECONDS: usize = 1_000;
 /// Of the hosts of its data centre a host doesn't hear one in so many.
-const UNHEARD_ONE_IN: u32 = 20;
+const UNSEEN_ONE_IN: u32 = 20;
 /// A request arrives within this time of its sending.
-const UNDER_WAY_MAX: Duration = Duration::from_millis(50);
+const LATENCY_MAX: Duration = Duration::from_millis(50);
 
 fn hosts(count: usize) -> Vec<HostId> {
     let names = (0..count).map(|index| HostId::new(format!("host-{index:04}")));
@@ -41,7 +41,7 @@
 }
 
 /// What each of `hosts` may send to an upstream, of whom each hears those that `hears` lets it hear.
-fn shares(hosts: &[HostId], upstream: &InstanceId, mut hears: impl FnMut() -> bool) -> Vec<usize> {
+fn quotas(hosts: &[HostId], upstream: &InstanceId, mut sees: impl FnMut() -> bool) -> Vec<usize> {
     let cold = ColdUpstream {
         upstream,
         data_centre: &north(),
@@ -49,30 +49,30 @@
     };
     let of_host = |host: &HostId| {
         let others = hosts.iter().filter(|other| *other != host);
-        let peers: Vec<HostId> = others.filter(|_| hears()).cloned().collect();
+        let peers: Vec<HostId> = others.filter(|_| sees()).cloned().collect();
         let sender = Sender {
             host,
             data_centre: &north(),
             peers: &peers,
-            uptime: OLD,
+            uptime: ESTABLISHED_UPTIME,
         };
-        share(&sender, &cold)
+        quota(&sender, &cold)
     };
     hosts.iter().map(of_host).collect()
 }
 
 /// The most requests that arrive in a second where each host sends all that it may as soon as it may, from some
 /// moment of the first second on.
-fn most_in_a_second(shares: &[usize], random: &mut ChaCha8Rng) -> usize {
+fn most_in_a_second(quotas: &[usize], random: &mut ChaCha8Rng) -> usize {
     let mut arrivals = Vec::new();
-    for share in shares {
+    for quota in quotas {
         let begins = Time::ZERO + Duration::from_millis(random.random_range(0..1_000));
         for window in 0..3 {
             let sent = begins + WINDOW * window;
-            let under_way = || UNDER_WAY_MAX.mul_f64(random.random());
+            let latency = || LATENCY_MAX.mul_f64(random.random());
             arrivals.extend(
-                std::iter::repeat_with(under_way)
-                    .take(*share)
+                std::iter::repeat_with(latency)
+                    .take(*quota)
                     .map(|time| sent + time),
             );
         }
@@ -88,24 +88,24 @@
 }
 
 #[test]
-fn hosts_of_a_data_centre_keep_the_bound_whatever_their_number_though_some_do_not_hear_others() {
+fn hosts_keep_the_bound_at_any_fleet_size_with_incomplete_peer_lists() {
     for count in [1, 3, 21, 74, 100] {
         let hosts = hosts(count);
         let mut random = ChaCha8Rng::seed_from_u64(count as u64);
         let mut most = 0;
         for second in 0..SECONDS {
-            let mut unheard = ChaCha8Rng::seed_from_u64(second as u64);
-            let hears = || !unheard.random_ratio(1, UNHEARD_ONE_IN);
-            let shares = shares(&hosts, &instance(second), hears);
-            most = most.max(most_in_a_second(&shares, &mut random));
+            let mut unseen = ChaCha8Rng::seed_from_u64(second as u64);
+            let sees = || !unseen.random_ratio(1, UNSEEN_ONE_IN);
+            let quotas = quotas(&hosts, &instance(second), sees);
+            most = most.max(most_in_a_second(&quotas, &mut random));
         }
 
-        assert!((1..=BOUND).contains(&most), "{count} hosts: {most}");
+        assert!((1..=BOUND_PER_S).contains(&most), "{count} hosts: {most}");
     }
 }
 
 #[test]
-fn two_halves_of_a_data_centre_that_do_not_hear_each_other_keep_it_together() {
+fn two_partitioned_halves_of_a_data_centre_keep_the_bound_together() {
     let hosts = hosts(60);
     let mut random = ChaCha8Rng::seed_from_u64(3);
 
@@ -113,16 +113,16 @@
         let upstream = instance(second);
         let halves = hosts
             .chunks(30)
-            .map(|half| shares(half, &upstream, || true));
-        let shares: Vec<usize> = halves.flatten().collect();
-        let most = most_in_a_second(&shares, &mut random);
+            .map(|half| quotas(half, &upstream, || true));
+        let quotas: Vec<usize> = halves.flatten().collect();
+        let most = most_in_a_second(&quotas, &mut random);
 
-        assert!(most <= BOUND, "{most}");
+        assert!(most <= BOUND_PER_S, "{most}");
     }
 }
 
 #[test]
-fn hosts_elsewhere_and_hosts_that_have_just_started_send_nothing() {
+fn hosts_of_other_data_centres_and_new_hosts_send_nothing() {
     let upstream = instance(0);
     let south = DataCentre::new("south");
     let cold = ColdUpstream {
@@ -135,7 +135,7 @@
         host: &host,
         data_centre: &south,
         peers: &[],
-        uptime: OLD,
+        uptime: ESTABLISHED_UPTIME,
     };
     let young = Sender {
         data_centre: &north(),
@@ -143,18 +143,18 @@
         ..old
     };
 
-    assert_eq!((share(&old, &cold), share(&young, &cold)), (0, 0));
+    assert_eq!((quota(&old, &cold), quota(&young, &cold)), (0, 0));
 }
 
 #[test]
-fn a_host_sends_its_part_once_in_each_window() {
+fn a_host_spends_its_quota_once_per_window() {
     let upstream = instance(0);
     let host = HostId::new("host");
     let sender = Sender {
         host: &host,
         data_centre: &north(),
         peers: &[],
-        uptime: OLD,
+        uptime: ESTABLISHED_UPTIME,
     };
     let cold = ColdUpstream {
         upstream: &upstream,
@@ -180,9 +180,9 @@
 
 /// What is sent to an upstream within one window if all of `hosts` spend their shares, those after `left` then end, and the
 /// others spend what their new shares leave them.
-fn sent_around_an_end(hosts: &[HostId], left: usize, upstream: &InstanceId) -> usize {
-    let before = shares(hosts, upstream, || true);
-    let after = shares(&hosts[..left], upstream, || true);
+fn sent_around_a_stop(hosts: &[HostId], left: usize, upstream: &InstanceId) -> usize {
+    let before = quotas(hosts, upstream, || true);
+    let after = quotas(&hosts[..left], upstream, || true);
     let more = after.iter().zip(&before);
     let more = more.map(|(after, before)| after.saturating_sub(*before));
     before.iter().sum::<usize>() + more.sum::<usize>()
@@ -190,15 +190,18 @@
 
 // Hosts that are left take the shares of those that end, which have spent them in the same second.
 #[test]
-fn hosts_that_end_together_and_those_that_are_left_keep_the_bound() {
+fn hosts_that_stop_together_and_the_remaining_ones_keep_the_bound() {
     for count in [2, 3, 6, 21, 74, 100] {
         let hosts = hosts(count);
         for second in 0..SECONDS / 10 {
             let left = 1 + second % count;
 
-            let sent = sent_around_an_end(&hosts, left, &instance(second));
+            let sent = sent_around_a_stop(&hosts, left, &instance(second));
 
-            assert!(sent <= BOUND, "{left} of {count} hosts are left: {sent}");
+            assert!(
+                sent <= BOUND_PER_S,
+                "{left} of {count} hosts are left: {sent}"
+            );
         }
     }
 }
--- a/src/gateway/destinations.rs
+++ b/src/gateway/destinations.rs
@@ -28,11 +28,11 @@
     source: &InstanceId,
     leaving: &[Arc<Upstream>],
     ready: &[Arc<Upstream>],
-    among: Scope,
+    scope: Scope,
 ) -> BTreeSet<InstanceId> {
     let data_centres: BTreeSet<&DataCentre> = ready.iter().map(|to| &to.data_centre).collect();
     let shares = data_centres.into_iter().flat_map(|data_centre| {
-        let sources = sources_for(data_centre, leaving, among);
+        let sources = sources_for(data_centre, leaving, scope);
         let engines = ready.iter().filter(|to| to.data_centre == *data_centre);
         engines
             .enumerate()
@@ -47,15 +47,15 @@
 fn sources_for<'a>(
     data_centre: &DataCentre,
     leaving: &'a [Arc<Upstream>],
-    among: Scope,
+    scope: Scope,
 ) -> Vec<&'a InstanceId> {
-    let near = leaving
+    let local = leaving
         .iter()
         .filter(|from| from.data_centre == *data_centre)
         .map(|from| &from.id);
-    let near: Vec<&InstanceId> = near.collect();
-    match among {
-        Scope::Local if !near.is_empty() => near,
+    let local: Vec<&InstanceId> = local.collect();
+    match scope {
+        Scope::Local if !local.is_empty() => local,
         Scope::Local | Scope::All => leaving.iter().map(|from| &from.id).collect(),
     }
 }
