--- a/src/gateway/enginestats.rs
+++ b/src/gateway/enginestats.rs
@@ -6,42 +6,42 @@
 use std::time::Duration;
 
 /// What is older counts by this factor at each new observation: about the last fifty count.
-const KEPT: f64 = 0.98;
+const DECAY: f64 = 0.98;
 /// Part of the first events that come within the time that is reckoned with: at least this while hardly any come
 /// late, since one that isn't tried is certainly lost,
-const WITHIN_MIN: f64 = 0.85;
+const QUANTILE_MIN: f64 = 0.85;
 /// and at most this, where many do: each that comes late has taken an engine's time from one that would not.
-const WITHIN_MAX: f64 = 0.97;
+const QUANTILE_MAX: f64 = 0.97;
 /// A first event that came late makes a host as cautious as it can be, and twenty in time make it as bold.
-const CAUTION_RAISED: f64 = 1.0;
-const CAUTION_LOWERED: f64 = 0.05;
+const CAUTION_STEP_LATE: f64 = 1.0;
+const CAUTION_STEP_IN_TIME: f64 = 0.05;
 /// A host that has observed nothing is half as cautious.
-const CAUTION_START: f64 = 0.5;
+const CAUTION_INITIAL: f64 = 0.5;
 /// Errors of expected times are counted in classes of this width,
-const ERROR_CLASS_S: f64 = 0.05;
+const ERROR_BUCKET_S: f64 = 0.05;
 /// the first of which begins this much below the expected time.
-const ERROR_FROM_S: f64 = -1.0;
+const ERROR_MIN_S: f64 = -1.0;
 /// Classes; what lies beyond counts in the last one.
-const ERROR_CLASSES: usize = 80;
+const ERROR_BUCKETS: usize = 80;
 /// Weight of the first guess of errors, in prompts.
-const ERROR_START_WEIGHT: f64 = 10.0;
+const ERROR_PRIOR_WEIGHT: f64 = 10.0;
 /// First guess of prompt tokens read a second, beside what runs.
-const READ_START_TOKENS_PER_S: f64 = 7_000.0;
+const PREFILL_PRIOR_TOKENS_PER_S: f64 = 7_000.0;
 /// Tokens that this guess counts like: ten prompts.
-const READ_START_TOKENS: f64 = 30_000.0;
+const PREFILL_PRIOR_TOKENS: f64 = 30_000.0;
 /// First guess of the error that so many don't exceed.
-const ERROR_START: Duration = Duration::from_millis(600);
+const ERROR_PRIOR: Duration = Duration::from_millis(600);
 /// First guess of the mean time for which memory is taken.
-const TURNOVER_START: Duration = Duration::from_millis(4_000);
+const TURNOVER_PRIOR: Duration = Duration::from_millis(4_000);
 /// Tokens that this guess counts like: twenty-five generations.
-const TURNOVER_START_TOKENS: f64 = 100_000.0;
+const TURNOVER_PRIOR_TOKENS: f64 = 100_000.0;
 
 /// What was observed.
 #[derive(Debug, Clone)]
 pub struct EngineStats {
-    read_tokens: f64,
-    read_s: f64,
-    errors: [f64; ERROR_CLASSES],
+    prefill_tokens: f64,
+    prefill_s: f64,
+    errors: [f64; ERROR_BUCKETS],
     /// From 0, while first events come in time, to 1.
     caution: f64,
     ended_tokens: f64,
@@ -51,24 +51,24 @@
 impl Default for EngineStats {
     fn default() -> Self {
         EngineStats {
-            read_tokens: READ_START_TOKENS,
-            read_s: READ_START_TOKENS / READ_START_TOKENS_PER_S,
-            errors: first_errors(),
-            caution: CAUTION_START,
-            ended_tokens: TURNOVER_START_TOKENS,
-            ended_token_s: TURNOVER_START_TOKENS * TURNOVER_START.as_secs_f64(),
+            prefill_tokens: PREFILL_PRIOR_TOKENS,
+            prefill_s: PREFILL_PRIOR_TOKENS / PREFILL_PRIOR_TOKENS_PER_S,
+            errors: prior_errors(),
+            caution: CAUTION_INITIAL,
+            ended_tokens: TURNOVER_PRIOR_TOKENS,
+            ended_token_s: TURNOVER_PRIOR_TOKENS * TURNOVER_PRIOR.as_secs_f64(),
         }
     }
 }
 
-fn error_class(error_s: f64) -> usize {
-    let class = (error_s - ERROR_FROM_S) / ERROR_CLASS_S;
-    (class.max(0.0) as usize).min(ERROR_CLASSES - 1)
+fn error_bucket(error_s: f64) -> usize {
+    let bucket = (error_s - ERROR_MIN_S) / ERROR_BUCKET_S;
+    (bucket.max(0.0) as usize).min(ERROR_BUCKETS - 1)
 }
 
-fn first_errors() -> [f64; ERROR_CLASSES] {
-    let mut errors = [0.0; ERROR_CLASSES];
-    errors[error_class(ERROR_START.as_secs_f64())] = ERROR_START_WEIGHT;
+fn prior_errors() -> [f64; ERROR_BUCKETS] {
+    let mut errors = [0.0; ERROR_BUCKETS];
+    errors[error_bucket(ERROR_PRIOR.as_secs_f64())] = ERROR_PRIOR_WEIGHT;
     errors
 }
 
@@ -76,18 +76,18 @@
     /// A first event came `time` after its request was sent, where with its own prompt `tokens` were
     /// still to be read.
     pub fn record_first_event(&mut self, tokens: u32, time: Duration) {
-        let error_s = time.as_secs_f64() - self.expected(tokens).as_secs_f64();
-        self.errors.iter_mut().for_each(|count| *count *= KEPT);
-        self.errors[error_class(error_s)] += 1.0;
-        self.read_tokens = self.read_tokens * KEPT + f64::from(tokens);
-        self.read_s = self.read_s * KEPT + time.as_secs_f64();
+        let error_s = time.as_secs_f64() - self.expected_first_event(tokens).as_secs_f64();
+        self.errors.iter_mut().for_each(|count| *count *= DECAY);
+        self.errors[error_bucket(error_s)] += 1.0;
+        self.prefill_tokens = self.prefill_tokens * DECAY + f64::from(tokens);
+        self.prefill_s = self.prefill_s * DECAY + time.as_secs_f64();
     }
 
     /// Whether a first event came within its request's objective.
     pub fn record_objective(&mut self, in_time: bool) {
         let caution = match in_time {
-            true => self.caution - CAUTION_LOWERED,
-            false => self.caution + CAUTION_RAISED,
+            true => self.caution - CAUTION_STEP_IN_TIME,
+            false => self.caution + CAUTION_STEP_LATE,
         };
         self.caution = caution.clamp(0.0, 1.0);
     }
@@ -100,33 +100,33 @@
     /// A generation that was planned to take `tokens` has ended `time` after it was sent.
     pub fn record_end(&mut self, tokens: u32, time: Duration) {
         let tokens = f64::from(tokens);
-        self.ended_tokens = self.ended_tokens * KEPT + tokens;
-        self.ended_token_s = self.ended_token_s * KEPT + tokens * time.as_secs_f64();
+        self.ended_tokens = self.ended_tokens * DECAY + tokens;
+        self.ended_token_s = self.ended_token_s * DECAY + tokens * time.as_secs_f64();
     }
 
     /// The expected time until a first event where `tokens` are still to be read.
-    fn expected(&self, tokens: u32) -> Duration {
-        Duration::from_secs_f64(f64::from(tokens) * self.read_s / self.read_tokens)
+    fn expected_first_event(&self, tokens: u32) -> Duration {
+        Duration::from_secs_f64(f64::from(tokens) * self.prefill_s / self.prefill_tokens)
     }
 
     /// The time within which nearly all first events come where `tokens` are still to be read.
     pub fn first_event_bound(&self, tokens: u32) -> Duration {
-        let within_s = self.expected(tokens).as_secs_f64() + self.error_within_s();
-        Duration::from_secs_f64(within_s.max(0.0))
+        let bound_s = self.expected_first_event(tokens).as_secs_f64() + self.error_quantile_s();
+        Duration::from_secs_f64(bound_s.max(0.0))
     }
 
     /// The error that the part of the errors which is reckoned with doesn't exceed.
-    fn error_within_s(&self) -> f64 {
-        let within = WITHIN_MIN + (WITHIN_MAX - WITHIN_MIN) * self.caution;
+    fn error_quantile_s(&self) -> f64 {
+        let quantile = QUANTILE_MIN + (QUANTILE_MAX - QUANTILE_MIN) * self.caution;
         let all: f64 = self.errors.iter().sum();
         let mut below = 0.0;
-        for (class, count) in self.errors.iter().enumerate() {
+        for (bucket, count) in self.errors.iter().enumerate() {
             below += count;
-            if below >= all * within {
-                return ERROR_FROM_S + (class + 1) as f64 * ERROR_CLASS_S;
+            if below >= all * quantile {
+                return ERROR_MIN_S + (bucket + 1) as f64 * ERROR_BUCKET_S;
             }
         }
-        ERROR_FROM_S + ERROR_CLASSES as f64 * ERROR_CLASS_S
+        ERROR_MIN_S + ERROR_BUCKETS as f64 * ERROR_BUCKET_S
     }
 
     /// The mean time for which a token of memory is taken.
--- a/src/gateway/enginestats/tests.rs
+++ b/src/gateway/enginestats/tests.rs
@@ -3,7 +3,7 @@
 use super::EngineStats;
 
 #[test]
-fn it_starts_from_a_guess() {
+fn it_starts_from_a_prior() {
     let stats = EngineStats::default();
     assert!(stats.first_event_bound(3_000) > Duration::from_millis(1_000));
     assert_eq!(stats.turnover(), Duration::from_millis(4_000));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_turnover_is_weighed_by_tokens() {
+fn the_turnover_is_weighted_by_tokens() {
     let mut stats = EngineStats::default();
     for _ in 0..500 {
         stats.record_end(4_000, Duration::from_secs(10));
@@ -42,7 +42,7 @@
 
 // A margin of four mean errors was raised for the next fifty generations, at all engines, by one engine that had gone dark.
 #[test]
-fn one_first_event_that_came_very_late_does_not_raise_the_margin() {
+fn one_very_late_first_event_does_not_raise_the_margin() {
     let mut stats = EngineStats::default();
     for _ in 0..400 {
         stats.record_first_event(3_000, Duration::from_millis(400));
