--- a/src/gateway/partition.rs
+++ b/src/gateway/partition.rs
@@ -10,7 +10,7 @@
 use crate::id::ServiceId;
 
 /// After a silence of all hosts of other data centres for so long a cut is likely: two rounds of each.
-const CUT_SILENCE: Duration = Duration::from_millis(600);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// What is believed.
 #[derive(Debug, Default)]
@@ -41,12 +41,12 @@
     pub(crate) fn update(
         &mut self,
         silence: Option<Duration>,
-        lost: impl FnOnce() -> Option<ServiceId>,
+        find_lost: impl FnOnce() -> Option<ServiceId>,
     ) -> Option<PartitionChange> {
-        let is_alone = silence.is_some_and(|silence| silence > CUT_SILENCE);
-        match (&self.service, is_alone) {
+        let is_silent = silence.is_some_and(|silence| silence > SILENCE_TIMEOUT);
+        match (&self.service, is_silent) {
             (None, true) => {
-                self.service = lost();
+                self.service = find_lost();
                 self.service.clone().map(PartitionChange::Lost)
             }
             (Some(_), false) => self.service.take().map(PartitionChange::Restored),
--- a/src/gateway/partition/tests.rs
+++ b/src/gateway/partition/tests.rs
@@ -4,8 +4,8 @@
 use super::PartitionDetector;
 use crate::id::ServiceId;
 
-const HEARD: Option<Duration> = Some(Duration::from_millis(200));
-const SILENT: Option<Duration> = Some(Duration::from_millis(900));
+const SHORT_SILENCE: Option<Duration> = Some(Duration::from_millis(200));
+const LONG_SILENCE: Option<Duration> = Some(Duration::from_millis(900));
 
 fn service() -> Option<ServiceId> {
     Some(ServiceId::new("crew"))
@@ -13,43 +13,43 @@
 
 #[test]
 fn a_service_without_upstreams_counts_only_while_other_data_centres_are_silent() {
-    let mut cut_off = PartitionDetector::default();
+    let mut detector = PartitionDetector::default();
 
-    assert_eq!(cut_off.update(HEARD, service), None);
-    assert!(!cut_off.is_partitioned());
+    assert_eq!(detector.update(SHORT_SILENCE, service), None);
+    assert!(!detector.is_partitioned());
     assert_eq!(
-        cut_off.update(SILENT, service),
+        detector.update(LONG_SILENCE, service),
         service().map(PartitionChange::Lost)
     );
-    assert!(cut_off.is_partitioned());
+    assert!(detector.is_partitioned());
 }
 
 #[test]
-fn a_host_that_never_heard_another_data_centre_is_not_cut_off() {
-    let mut cut_off = PartitionDetector::default();
+fn a_host_that_never_heard_another_data_centre_is_not_partitioned() {
+    let mut detector = PartitionDetector::default();
 
-    assert_eq!(cut_off.update(None, service), None);
-    assert!(!cut_off.is_partitioned());
+    assert_eq!(detector.update(None, service), None);
+    assert!(!detector.is_partitioned());
 }
 
 #[test]
-fn a_silence_alone_is_no_reason() {
-    let mut cut_off = PartitionDetector::default();
+fn silence_with_a_reachable_service_is_no_partition() {
+    let mut detector = PartitionDetector::default();
 
-    assert_eq!(cut_off.update(SILENT, || None), None);
-    assert!(!cut_off.is_partitioned());
+    assert_eq!(detector.update(LONG_SILENCE, || None), None);
+    assert!(!detector.is_partitioned());
 }
 
 #[test]
-fn a_lost_service_stays_lost_until_others_are_heard() {
-    let mut cut_off = PartitionDetector::default();
-    cut_off.update(SILENT, service);
+fn a_lost_service_stays_lost_until_another_data_centre_is_heard() {
+    let mut detector = PartitionDetector::default();
+    detector.update(LONG_SILENCE, service);
 
-    assert_eq!(cut_off.update(SILENT, || None), None);
-    assert!(cut_off.is_partitioned());
+    assert_eq!(detector.update(LONG_SILENCE, || None), None);
+    assert!(detector.is_partitioned());
     assert_eq!(
-        cut_off.update(HEARD, || None),
+        detector.update(SHORT_SILENCE, || None),
         service().map(PartitionChange::Restored)
     );
-    assert!(!cut_off.is_partitioned());
+    assert!(!detector.is_partitioned());
 }
