--- a/tests/coldupstreams/mod.rs
+++ b/tests/coldupstreams/mod.rs
@@ -18,14 +18,14 @@
 
 const HOSTS: usize = 20;
 /// What a cold upstream of these services bears in a second, with the tolerance of the platform.
-const BORNE: usize = 12;
+const TOLERATED_PER_S: usize = 12;
 /// A sound upstream that is listed serves within this time.
 const SERVED_WITHIN: Duration = Duration::from_secs(2);
 /// For longer than any test lasts.
-const COLD: Duration = Duration::from_secs(60);
+const ALWAYS_COLD: Duration = Duration::from_secs(60);
 
 /// Hosts with a warm upstream in another data centre than their own.
-fn deployment() -> (Vec<World>, FakeUpstream) {
+fn fleet_with_warm_upstream() -> (Vec<World>, FakeUpstream) {
     let hosts = World::start_new_fleet(HOSTS);
     let sound = [Behaviour::Answer(200, "sound")];
     let warm = FakeUpstream::start("up-south", &sound).in_data_centre("south");
@@ -69,32 +69,32 @@
 
 // All hosts found an empty upstream of their own data centre at once, and sent all that they had.
 #[test]
-fn hosts_share_what_a_cold_upstream_bears_in_a_second() {
-    let (hosts, _warm) = deployment();
+fn hosts_together_keep_the_rate_of_a_cold_upstream() {
+    let (hosts, _warm) = fleet_with_warm_upstream();
     let cold = FakeUpstream::start("up-north", &[Behaviour::Answer(200, "sound")]);
 
-    list_cold(&hosts[0], &cold, COLD);
+    list_cold(&hosts[0], &cold, ALWAYS_COLD);
     let most = most_in_a_second(&hosts, &cold, Duration::from_secs(3));
 
-    assert!((1..=BORNE).contains(&most), "{most}");
+    assert!((1..=TOLERATED_PER_S).contains(&most), "{most}");
 }
 
 #[test]
-fn an_upstream_that_is_warm_again_gets_what_it_can_take() {
-    let (hosts, _warm) = deployment();
+fn a_warm_upstream_is_no_longer_limited() {
+    let (hosts, _warm) = fleet_with_warm_upstream();
     let upstream = FakeUpstream::start("up-north", &[Behaviour::Answer(200, "sound")]);
     list_cold(&hosts[0], &upstream, Duration::from_millis(500));
 
     let most = most_in_a_second(&hosts, &upstream, Duration::from_secs(2));
 
-    assert!(most > BORNE, "{most}");
+    assert!(most > TOLERATED_PER_S, "{most}");
 }
 
 #[test]
-fn what_a_cold_upstream_does_not_take_goes_elsewhere() {
-    let (hosts, warm) = deployment();
+fn requests_beyond_the_rate_go_to_a_warm_upstream() {
+    let (hosts, warm) = fleet_with_warm_upstream();
     let cold = FakeUpstream::start("up-north", &[Behaviour::Answer(200, "sound")]);
-    list_cold(&hosts[0], &cold, COLD);
+    list_cold(&hosts[0], &cold, ALWAYS_COLD);
     let before = warm.seen().len();
 
     let statuses = (0..3).flat_map(|_| &hosts);
@@ -108,7 +108,7 @@
 
 // Three cold upstreams that crash would else have a sound request held back as one that crashes what runs it.
 #[test]
-fn a_crash_of_a_cold_upstream_is_not_held_against_the_request() {
+fn a_crash_of_a_cold_upstream_does_not_count_against_the_request() {
     let hosts = World::start_new_fleet(1);
     let death = Death::BeforeAnswer;
     let mortal = ["up-0", "up-1", "up-2"].map(|id| {
@@ -120,7 +120,7 @@
         .log
         .put("operator", "table", &table(1, json!([route("once")])));
     for upstream in &mortal {
-        list_cold(&hosts[0], upstream, COLD);
+        list_cold(&hosts[0], upstream, ALWAYS_COLD);
     }
     assert!(wait_until(|| hosts[0].is_ready()));
 
