--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -1,18 +1,19 @@
-//! Decides what becomes of a generation that wants to start: it starts, waits or is refused.
+//! Admission control: decides whether a generation starts, waits or is refused.
 //!
-//! The load that this answers: for seconds more work arrives than engines have memory for (long
-//! answers at four times their rate, all engines of a data centre gone in a surge). Engines take what
-//! they are sent; once the outputs have grown they preempt streams that callers wait on, the callers
-//! leave, and what was read and generated for them was in vain. So a generation starts only where the
-//! predicted memory of all that runs leaves room for its own.
+//! Guards against overload that lasts for seconds, when more work arrives than engines have memory for
+//! (long answers at four times their usual rate, or all engines of a data centre lost in a surge).
+//! Engines accept everything they are sent. Once the outputs have grown, they preempt running streams;
+//! the callers time out and disconnect, and the prefill and generation done for them are wasted. So a
+//! generation starts only where the predicted memory use of the running ones leaves room for it.
 //!
-//! A wait is short and has a prospect. It is bounded by the objective, less the time within which the
-//! first event comes once the request is sent; and it begins only if as much memory as the line ahead
-//! needs is expected to become free by then. By Little's law memory becomes free at the rate of what
-//! is taken over the mean time for which it is taken. What has no such prospect is refused at once.
+//! A generation waits only while it can still meet its objective: the wait is bounded by the objective
+//! less the time to the first event after sending, and begins only if the memory needed by the queue
+//! ahead is expected to become free within that bound. By Little's law, memory is freed at the rate of
+//! the tokens taken divided by the mean time for which they are held. Otherwise the generation is
+//! refused at once.
 //!
-//! A host that doesn't hear the others (cut off, just started) sees only its own work and may send as
-//! much again as they run; the engines' own queues and preemption bound the harm.
+//! A host that receives nothing from its peers (partitioned or just started) sees only its own load and
+//! may send as much again as they run. The engines' own queues and preemption limit the damage.
 
 use std::time::Duration;
 
@@ -22,79 +23,80 @@
 use crate::gateway::place::Need;
 use crate::gateway::place::View;
 
-/// What runs holds on average this share of what it is planned to need at its end.
+/// Mean share of its planned memory that a running generation holds.
 const MEAN_USED_SHARE: f64 = 0.87;
-/// A generation of no more output is over before what runs beside it has grown: about a second.
+/// Generations of at most this output end within about a second, before those beside them have grown.
 const SHORT_OUTPUT_TOKENS: u32 = 100;
-/// A wait takes no more than this part of the objective: what an engine will take for the rest is a
-/// guess that is worst where the load has just risen.
+/// Longest wait as a share of the objective. The time that an engine needs for the rest is an estimate,
+/// least accurate when the load has just risen.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// and no more than this one while many first events come late.
+/// Longest wait as a share of the objective while many first events are late.
 const CAUTIOUS_WAIT_SHARE: f64 = 0.25;
-/// So many hosts at most are taken to wait for what becomes free. Were all of a large fleet counted, generations that
-/// would have room in a moment were refused.
+/// Most hosts assumed to compete for freed memory. Counting every host of a large fleet refuses
+/// generations for which there would soon be room.
 const WAITING_HOSTS_MAX: usize = 3;
-/// A refused caller is told to come back within the last part of the time in which its answer could
-/// still come whole: its objective is lost already, later there is more room, and callers that were
-/// refused together come back apart.
+/// A refused caller retries no earlier than this share of the time in which it can still get a whole
+/// answer. Its objective is missed already and there is more room later; the rest of that time spreads
+/// the retries of callers that were refused together.
 const RETRY_EARLIEST_SHARE: f64 = 0.5;
 
-/// A generation that wants to start.
+/// A generation that asks for admission.
 #[derive(Debug, Clone, Copy)]
 pub struct Demand {
     /// What it needs of an engine.
     pub need: Need,
-    /// Time in which its first event should come.
+    /// Time from arrival within which its first event should come.
     pub objective: Duration,
-    /// How long it has waited, if it does already.
+    /// Time spent waiting; none for one that was not queued yet.
     pub waited: Option<Duration>,
 }
 
-/// The line in which generations wait, as their host sees it.
+/// The state of the queue as this host sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueState<'a> {
-    /// Tokens that those ahead need.
+    /// Tokens needed by the generations ahead.
     pub ahead_tokens: u64,
     /// Tokens taken at all engines by all hosts.
     pub taken_tokens: u64,
-    /// Hosts that share what becomes free.
+    /// Hosts that share the memory that becomes free.
     pub hosts: usize,
-    /// What this host observed of engines.
+    /// This host's observations of engines.
     pub stats: &'a EngineStats,
 }
 
-/// What becomes of a generation.
+/// The outcome of admission.
 #[derive(Debug, Clone)]
 pub enum Verdict {
-    /// It starts there.
+    /// It starts at this candidate.
     Start(Candidate),
     /// It waits for room.
     Wait,
-    /// It is refused.
+    /// It is refused, since room is not expected in time.
     Refuse(WaitEstimate),
 }
 
-/// Why there is no use in waiting.
+/// How long a generation would wait and how long it may.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitEstimate {
-    /// When room is expected.
+    /// Time until room is expected.
     pub expected: Duration,
-    /// The longest wait after which the first event still comes in time.
+    /// Longest wait after which the first event is still expected in time.
     pub limit: Duration,
 }
 
 impl QueueState<'_> {
-    /// When `tokens` are expected to be free for the last in the line. Of many hosts few have one that waits at a
-    /// time.
+    /// Time until `tokens` are expected to be free for a generation at the end of the queue. Of many
+    /// hosts, only a few have a queue at the same time.
     fn expected_wait(&self, tokens: u32) -> Duration {
         let wanted = (self.ahead_tokens + u64::from(tokens)) as f64;
         let taken = self.taken_tokens.max(1) as f64;
-        let turns = wanted * self.hosts.clamp(1, WAITING_HOSTS_MAX) as f64 / taken;
-        self.stats.turnover().mul_f64(turns)
+        let turnovers = wanted * self.hosts.clamp(1, WAITING_HOSTS_MAX) as f64 / taken;
+        self.stats.turnover().mul_f64(turnovers)
     }
 }
 
 impl Demand {
+    /// Longest wait after which the first event is still expected in time.
     fn wait_limit(&self, stats: &EngineStats) -> Duration {
         let first_event = match self.need {
             Need::Memory { prompt_tokens, .. } => stats.first_event_bound(prompt_tokens),
@@ -105,7 +107,8 @@
         left.min(self.objective.mul_f64(MAX_WAIT_SHARE - reduction))
     }
 
-    /// Whether it may start at `candidate`.
+    /// Whether the generation may start at `candidate`: an idle engine always takes it; a busy one needs
+    /// a free slot, room for the predicted peak, and prefill work that fits the objective.
     fn has_room(&self, candidate: &Candidate, stats: &EngineStats) -> bool {
         let Need::Memory {
             tokens,
@@ -126,14 +129,15 @@
     }
 }
 
-/// Memory that is taken at the peak of a newcomer beside what runs.
+/// Tokens in memory at the peak of a new generation of `tokens` beside `running` planned tokens. For a
+/// short one, the others are counted at their mean use instead of their full plan.
 fn predicted_peak_tokens(running: u32, tokens: u32, prompt_tokens: u32) -> f64 {
     let is_short = tokens.saturating_sub(prompt_tokens) <= SHORT_OUTPUT_TOKENS;
     let used_share = if is_short { MEAN_USED_SHARE } else { 1.0 };
     f64::from(running) * used_share + f64::from(tokens)
 }
 
-/// What becomes of a generation; `draw` gives random numbers from 0 to 1.
+/// Decides on `demand`. `draw` returns random numbers from 0 to 1.
 pub fn decide(
     demand: &Demand,
     queue: &QueueState<'_>,
@@ -161,7 +165,7 @@
     }
 }
 
-/// The candidates at which it may start; doubtful ones only where there is no other.
+/// The candidates with room for `demand`. Doubtful ones count only if all candidates are doubtful.
 fn with_room(demand: &Demand, candidates: &[Candidate], stats: &EngineStats) -> Vec<Candidate> {
     let any_healthy = candidates.iter().any(|candidate| !candidate.doubtful);
     candidates
@@ -172,8 +176,8 @@
         .collect()
 }
 
-/// When a refused caller should come back that has `time_left` and whose answer takes `run`; `draw` is
-/// from 0 to 1.
+/// Time after which a refused caller should retry, given its `time_left`, the `run` time of its answer
+/// and the `expected` wait for room. `draw` is from 0 to 1.
 pub fn retry_after(time_left: Duration, run: Duration, expected: Duration, draw: f64) -> Duration {
     let latest = time_left.saturating_sub(run);
     let share = RETRY_EARLIEST_SHARE + (1.0 - RETRY_EARLIEST_SHARE) * draw;
--- a/src/gateway/admit/tests.rs
+++ b/src/gateway/admit/tests.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// The line of a host of six, with this much taken at all engines.
+/// The queue at one of six hosts, with `taken_tokens` taken at all engines.
 fn queue(stats: &EngineStats, ahead_tokens: u64, taken_tokens: u64) -> QueueState<'_> {
     QueueState {
         ahead_tokens,
@@ -103,7 +103,7 @@
     }
 }
 
-/// One that observed that memory is free again after `turnover`.
+/// Statistics of engines on which memory is held for `turnover`.
 fn stats(turnover: Duration) -> EngineStats {
     let mut stats = EngineStats::default();
     for _ in 0..1_000 {
@@ -228,7 +228,7 @@
     }
 }
 
-/// Long answers at four times the rate that the engines carry with ease, for 9 s.
+/// Long answers arrive for 9 s at four times the rate that the engines sustain.
 fn surge_of_long_answers(policy: Policy) -> simulation::Outcome {
     Simulation::new(policy)
         .engines(6)
--- a/src/gateway/admit/tests/simulation.rs
+++ b/src/gateway/admit/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Plays arrivals of reports and flags against modelled engines, by one policy or the other.
+//! Simulates arrivals of reports (long outputs) and flags (short, more urgent) at modelled engines, under
+//! one of two admission policies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,25 +26,25 @@
 use crate::model::ModelOptionsBuilder;
 use crate::model::ModelRequest;
 
-/// Time between two looks at the engines and the line.
+/// Simulated time per step.
 const TICK: Duration = Duration::from_millis(10);
-/// A caller leaves after a gap of this time.
+/// A caller disconnects after a gap of this time.
 const CALLER_TIMEOUT: Duration = Duration::from_secs(7);
-/// Longest pause between two tokens that is still in time.
+/// Longest pause between two tokens within the objective.
 const PAUSE_MAX: Duration = Duration::from_millis(180);
-/// What runs at the end of the arrivals has this time to end.
+/// Time after the last arrival in which running generations may complete.
 const DRAIN_TIME: Duration = Duration::from_secs(30);
 
 /// How generations are placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Policy {
-    /// At once at the least bad engine.
+    /// Sent on arrival to the best placed engine, without admission control.
     SendAtOnce,
-    /// As [`crate::gateway::admit`] decides.
+    /// Admitted by [`crate::gateway::admit`].
     Decide,
 }
 
-/// What became of all.
+/// Counts of what became of the generations.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
     pub(super) reports: u32,
@@ -97,7 +98,7 @@
     pause_max: Duration,
 }
 
-/// The arrivals, and what they meet.
+/// The state of a simulation and its options.
 pub(super) struct Simulation {
     policy: Policy,
     engines: Vec<Option<EngineModel>>,
@@ -196,7 +197,7 @@
 
     fn arrive(&mut self, now: Time, kind: Kind) {
         let number = self.outcome.reports + self.outcome.flags;
-        // Lengths vary in a fixed pattern about their means.
+        // A fixed pattern of lengths around the mean keeps runs reproducible.
         let output_tokens = match kind {
             Kind::Report => 300 + (number * 397) % 1_300,
             Kind::Flag => 4 + number % 16,
@@ -237,7 +238,7 @@
             .collect()
     }
 
-    /// The flags are more urgent than the reports.
+    /// Decides on all queued generations: flags first, then by arrival.
     fn serve_queue(&mut self, now: Time) {
         let mut queue = std::mem::take(&mut self.queue);
         queue.sort_by_key(|(generation, _)| (generation.kind == Kind::Report, generation.arrived));
@@ -392,7 +393,7 @@
         Some(run)
     }
 
-    /// Callers of streams that stand still give up.
+    /// Cancels the streams whose callers have timed out.
     fn cancel_stalled(&mut self, now: Time) {
         let silent: Vec<AttemptId> = self
             .runs
