--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -1,7 +1,8 @@
-//! The generations of this host that wait for room at an engine.
+//! The queue of this host's generations that wait for room at an engine.
 //!
-//! The most urgent rank goes first; within it the customer of whom least runs at this host, so that
-//! one who sends many times its usual waits behind the others; then who came first.
+//! Ordered by rank, the most urgent first; then by the tokens of the customer that run at this host,
+//! fewest first, so that a customer at many times its usual rate waits behind the others; then by
+//! arrival.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -33,10 +34,10 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// How often one that waits looks for room: hosts tell each other what ended four times a second.
+/// How often a queued generation checks for room. Hosts announce ended generations four times a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One that waits.
+/// A queued generation.
 #[derive(Debug, Clone)]
 struct QueueEntry {
     number: u64,
@@ -46,13 +47,13 @@
     tokens: u32,
 }
 
-/// Those that wait, what runs of each customer, and the stats of engines.
+/// Queued generations of all services, running tokens by customer, and statistics of engines.
 #[derive(Debug, Default)]
 pub struct Queues {
     waiting: Vec<QueueEntry>,
     running_tokens: HashMap<CustomerId, u64>,
     next_number: u64,
-    /// What was observed of engines.
+    /// This host's observations of engines.
     pub stats: EngineStats,
 }
 
@@ -84,7 +85,7 @@
         running.copied().unwrap_or(0)
     }
 
-    /// Tokens needed by those that go before `number`.
+    /// Tokens needed by the generations of the same service that go before `number`.
     fn ahead_tokens(&self, number: u64) -> u64 {
         let key = |waiting: &QueueEntry| {
             let running = self.customer_tokens(waiting.customer.as_ref());
@@ -93,11 +94,12 @@
         let Some(own) = self.waiting.iter().find(|other| other.number == number) else {
             return 0;
         };
-        let line = self
+        let queue = self
             .waiting
             .iter()
             .filter(|other| other.service == own.service);
-        line.filter(|other| key(other) < key(own))
+        queue
+            .filter(|other| key(other) < key(own))
             .map(|other| u64::from(other.tokens))
             .sum()
     }
@@ -117,17 +119,17 @@
     }
 }
 
-/// A handle on the lines; clones share them.
+/// A shared handle to the queues; clones refer to the same ones.
 #[derive(Debug, Clone, Default)]
 pub struct QueueHandle(Arc<Mutex<Queues>>);
 
 impl QueueHandle {
-    /// Runs `use_queues` on the lines.
+    /// Runs `use_queues` with the queues locked.
     pub fn with<T>(&self, use_queues: impl FnOnce(&mut Queues) -> T) -> T {
         use_queues(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Counts a generation as running for its customer until the guard is dropped.
+    /// Counts `tokens` as running for `customer` until the guard is dropped.
     pub fn track_running(&self, customer: Option<&CustomerId>, tokens: u32) -> RunningGuard {
         if let Some(customer) = customer {
             self.with(|queues| queues.add_running(customer, tokens));
@@ -141,7 +143,7 @@
     }
 }
 
-/// What a running generation counts for its customer.
+/// Counts a generation as running for its customer while it lives.
 #[derive(Debug)]
 pub struct RunningGuard {
     queues: QueueHandle,
@@ -151,8 +153,8 @@
 }
 
 impl RunningGuard {
-    /// The generation has ended by itself. One that broke or never ran tells nothing of how long memory is
-    /// taken.
+    /// Records a generation that ran to its end. Broken ones and ones that never ran are not recorded: they
+    /// say nothing about how long memory is held.
     pub fn complete(&self) {
         let time = self.started_at.elapsed();
         self.queues
@@ -169,7 +171,7 @@
     }
 }
 
-/// A place in the line, given up when it is dropped.
+/// A place in the queue, released on drop.
 struct Ticket {
     queues: QueueHandle,
     number: u64,
@@ -191,11 +193,11 @@
     }
 }
 
-/// The engine at which a generation starts, at once or after a wait; none if there is no engine left.
+/// Chooses the engine at which a generation starts, waiting for room if needed; none if no engine is left.
 ///
 /// # Errors
 ///
-/// The refusal of one for which no room is expected in time.
+/// A refusal if no room is expected in time or the request is held back.
 pub async fn wait_for_room(
     shared: &Shared,
     admitted: &Admitted,
@@ -209,7 +211,7 @@
     let mut breadth = Breadth::at_first(shared, &admitted.service);
     let mut reservation: Option<Reservation> = None;
     loop {
-        // Upstreams may crash under a repeat while this one waits.
+        // Another attempt of the same content may crash upstreams during the wait.
         if let Some(refusal) = shared.held_back(admitted) {
             return Err(refusal);
         }
@@ -244,7 +246,7 @@
             shared.ask_far_loads().await;
             continue;
         }
-        // A version that is tried is no reason to wait.
+        // Rather than wait for the version under trial, fall back to the proved one.
         let is_start = matches!(verdict, Verdict::Start(_));
         if !is_start && admitted.track.replace(Track::Proved) == Track::Tried {
             continue;
@@ -267,8 +269,8 @@
     }
 }
 
-/// Room that one which waits has others leave to it. Short generations of other hosts would else take what becomes
-/// free, again and again, and long ones never start.
+/// Room that a queued generation reserves at an engine. Otherwise short generations of other hosts take
+/// the room as it becomes free, and long ones starve.
 struct Reservation {
     upstream: InstanceId,
     tokens: u32,
@@ -289,7 +291,7 @@
         })
     }
 
-    /// Its own reservation is not in its way.
+    /// Takes the reservation off its engine's load, so that it doesn't block its own generation.
     fn subtract_from(&self, candidates: &mut [Candidate]) {
         let own = candidates
             .iter_mut()
@@ -301,8 +303,8 @@
     }
 }
 
-/// Whether a verdict rests on what was heard of other data centres a while ago: to start there, or to start nowhere.
-/// Hosts that go by old words meet each other at one engine, where each waits for the other's prompt.
+/// Whether a verdict to start in another data centre, or nowhere, relies on stale load reports. Hosts that
+/// act on stale reports pick the same engine, where each waits for the others' prompts.
 fn uses_stale_loads(shared: &Shared, verdict: &Verdict) -> bool {
     let leaves_home = match verdict {
         Verdict::Start(candidate) => {
@@ -313,7 +315,7 @@
     leaves_home && !shared.data_centres_to_ask(shared.now()).is_empty()
 }
 
-/// What a decision about one that waits rests on.
+/// The values from which the admission of a queued generation is decided.
 struct DecisionInputs {
     ahead_tokens: u64,
     taken_tokens: u64,
@@ -340,7 +342,7 @@
     }
 
     fn decide(&self, shared: &Shared, demand: &Demand, candidates: &[Candidate]) -> Verdict {
-        let line = admit::QueueState {
+        let queue = admit::QueueState {
             ahead_tokens: self.ahead_tokens,
             taken_tokens: self.taken_tokens,
             hosts: self.hosts,
@@ -348,7 +350,7 @@
         };
         admit::decide(
             demand,
-            &line,
+            &queue,
             candidates,
             shared.view(),
             rand::random::<f64>,
@@ -356,8 +358,9 @@
     }
 
     fn log(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
-        let line = admitted.line(shared, EventCode::RequestQueued);
-        line.with("outcome", outcome)
+        let entry = admitted.line(shared, EventCode::RequestQueued);
+        entry
+            .with("outcome", outcome)
             .with("ahead_tokens", self.ahead_tokens)
             .with("taken_tokens", self.taken_tokens)
             .with("engines", self.engines)
--- a/src/gateway/queue/tests.rs
+++ b/src/gateway/queue/tests.rs
@@ -19,7 +19,7 @@
     InstanceId::from(UpstreamId::new("engine"))
 }
 
-/// The engine as `board` counts it.
+/// The engine with its load as counted by `board`.
 fn candidate(board: &LoadBoard) -> Candidate {
     let upstream = Upstream {
         id: engine(),
@@ -39,7 +39,8 @@
     }
 }
 
-// Long generations that waited saw short ones of other hosts take all that became free.
+// Guards against starvation: without a reservation, short generations of other hosts took all memory that
+// became free while a long one waited.
 #[test]
 fn reserved_room_is_taken_for_others_and_free_for_its_holder() {
     let board = LoadBoard::default();
@@ -95,15 +96,15 @@
 
 #[test]
 fn the_customer_with_most_running_tokens_goes_last() {
-    let board = QueueHandle::default();
+    let handle = QueueHandle::default();
     let large = CustomerId::new("large");
-    let share = board.track_running(Some(&large), 9_000);
+    let guard = handle.track_running(Some(&large), 9_000);
     let (of_large, of_small) =
-        board.with(|queues| (join(queues, 1, "large"), join(queues, 1, "small")));
-    assert_eq!(board.with(|queues| queues.ahead_tokens(of_small)), 0);
-    assert_eq!(board.with(|queues| queues.ahead_tokens(of_large)), 1_000);
-    drop(share);
-    assert_eq!(board.with(|queues| queues.ahead_tokens(of_large)), 0);
+        handle.with(|queues| (join(queues, 1, "large"), join(queues, 1, "small")));
+    assert_eq!(handle.with(|queues| queues.ahead_tokens(of_small)), 0);
+    assert_eq!(handle.with(|queues| queues.ahead_tokens(of_large)), 1_000);
+    drop(guard);
+    assert_eq!(handle.with(|queues| queues.ahead_tokens(of_large)), 0);
 }
 
 #[test]
@@ -116,11 +117,11 @@
 
 #[test]
 fn only_completed_runs_change_the_turnover() {
-    let board = QueueHandle::default();
-    let turnover = || board.with(|queues| queues.stats.turnover());
+    let handle = QueueHandle::default();
+    let turnover = || handle.with(|queues| queues.stats.turnover());
     let before = turnover();
-    drop(board.track_running(None, 50_000));
+    drop(handle.track_running(None, 50_000));
     assert_eq!(turnover(), before);
-    board.track_running(None, 50_000).complete();
+    handle.track_running(None, 50_000).complete();
     assert!(turnover() < before);
 }
