--- a/src/gateway/movequeue.rs
+++ b/src/gateway/movequeue.rs
@@ -1,11 +1,11 @@
-//! Turns of runs that are moved off one leaving engine.
+//! Serializes the moves of runs off a leaving engine.
 //!
-//! An engine sends copies one after another over one link. If all its runs are copied at once, the
-//! last part of each waits behind the first parts of all others while its caller sees nothing, and
-//! what is still queued when the engine ends is lost with it. So the runs take turns: within a host
-//! in the order in which they ask, and among hosts by name, as the hosts tell each other what they
-//! have still to move. A run that is being moved is waited for, whoever joined meanwhile. A wait is
-//! bounded: turns are a courtesy, and no promise rests on them.
+//! An engine sends copies one after another over one link. If all its runs are copied at once, the last
+//! part of each waits behind the first parts of all others while its caller receives nothing, and what
+//! is still queued when the engine ends is lost with it. So the runs are moved one at a time: within a
+//! host in the order in which they join, and among hosts by name, as the hosts announce their pending
+//! moves to each other. A move in progress is waited for, regardless of that order. The wait is bounded:
+//! the order is best effort, and nothing else depends on it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,27 +25,27 @@
 use crate::gateway::shared::Shared;
 use crate::id::HostId;
 
-/// What a peer said it has to move counts for this long.
+/// Time for which a peer's report of its pending moves counts.
 const PEER_REPORT_TTL: Duration = Duration::from_millis(900);
-/// Other hosts' words on what they have to move arrive within this time of the notice.
+/// Time after the notice within which the first reports of other hosts arrive.
 const FIRST_REPORTS_WAIT: Duration = Duration::from_millis(25);
-/// How often it is looked whose turn it is.
+/// How often a waiting run checks whether it may begin.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a host has still to move off one engine.
+/// The moves off one engine that a host has still to make.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingMoves {
     /// The engine.
     pub upstream: InstanceId,
-    /// Runs, the one that is being moved among them.
+    /// Runs, including the one in progress.
     pub runs: u32,
-    /// Whether one of them is being moved now.
+    /// Whether one of them is in progress.
     pub is_moving: bool,
-    /// Where that one goes, once it is known.
+    /// Destination of the one in progress, once it is chosen.
     pub to: Option<InstanceId>,
 }
 
-/// This host's runs that leave one engine, in their order.
+/// This host's runs that leave one engine, in the order in which they joined.
 #[derive(Debug, Default)]
 struct Queue {
     tickets: Vec<u64>,
@@ -53,7 +53,7 @@
     to: Option<InstanceId>,
 }
 
-/// Who has what to move off which engine.
+/// Pending moves of this host and its peers, by engine.
 #[derive(Debug, Default)]
 pub struct MoveQueues {
     own: BTreeMap<InstanceId, Queue>,
@@ -62,7 +62,7 @@
 }
 
 impl MoveQueues {
-    /// What this host has still to move, for its peers.
+    /// This host's pending moves, as announced to peers.
     pub fn pending(&self) -> Vec<PendingMoves> {
         let own = self.own.iter();
         own.map(|(upstream, queue)| PendingMoves {
@@ -74,7 +74,7 @@
         .collect()
     }
 
-    /// What a peer has still to move.
+    /// Replaces the pending moves of a peer by its latest report.
     pub fn receive(&mut self, now: Time, host: &HostId, pending: Vec<PendingMoves>) {
         if pending.is_empty() {
             self.peers.remove(host);
@@ -91,14 +91,14 @@
         ticket
     }
 
-    /// The ticket's run is being moved from now on.
+    /// Marks the ticket's run as in progress.
     fn begin(&mut self, upstream: &InstanceId, ticket: u64) {
         if let Some(queue) = self.own.get_mut(upstream) {
             queue.moving = Some(ticket);
         }
     }
 
-    /// The run that is being moved goes to `to`.
+    /// Records the destination of the ticket's run, if its move is in progress.
     fn set_destination(&mut self, upstream: &InstanceId, ticket: u64, to: &InstanceId) {
         let queue = self.own.get_mut(upstream);
         if let Some(queue) = queue.filter(|queue| queue.moving == Some(ticket)) {
@@ -106,15 +106,15 @@
         }
     }
 
-    /// Where runs of other engines than `source` are being copied to now. Their links take one copy
-    /// after another, and a run that was stopped would wait behind the others' copies.
+    /// Engines to which runs of other engines than `source` are being copied. A link takes one copy after
+    /// another, so a stopped run would wait behind those copies.
     pub fn busy_destinations(&self, now: Time, source: &InstanceId) -> BTreeSet<InstanceId> {
         let reports = self.peers.values();
         let peers = reports
             .filter(|(at, _)| now.since(*at) < PEER_REPORT_TTL)
             .flat_map(|(_, pending)| pending)
-            .filter(|pending| pending.upstream != *source)
-            .filter_map(|pending| pending.to.clone());
+            .filter(|moves| moves.upstream != *source)
+            .filter_map(|moves| moves.to.clone());
         let own = self.own.iter().filter(|(upstream, _)| *upstream != source);
         peers
             .chain(own.filter_map(|(_, queue)| queue.to.clone()))
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Whether it is the turn of a ticket of `host`.
+    /// Whether the move of a ticket of `host` may begin: it is the first of its host, no host has a move in
+    /// progress, and no other host with pending moves comes before it by name.
     fn may_begin(&self, now: Time, host: &HostId, upstream: &InstanceId, ticket: u64) -> bool {
         let Some(queue) = self.own.get(upstream) else {
             return true;
@@ -145,15 +146,15 @@
         }
         let live = self.peers.iter();
         let live = live.filter(|(_, (at, _))| now.since(*at) < PEER_REPORT_TTL);
-        let mut before = live.flat_map(|(peer, (_, pending))| {
+        let mut ahead = live.flat_map(|(peer, (_, pending))| {
             let of_engine = pending.iter().filter(|moves| moves.upstream == *upstream);
             of_engine.filter(move |moves| moves.is_moving || (peer < host && moves.runs > 0))
         });
-        before.next().is_none()
+        ahead.next().is_none()
     }
 }
 
-/// A handle on the turns; clones share them.
+/// A shared handle to the queues; clones refer to the same ones.
 #[derive(Debug, Clone, Default)]
 pub struct MoveQueueHandle(Arc<Mutex<MoveQueues>>);
 
@@ -162,13 +163,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `use_queues` on the turns.
+    /// Runs `use_queues` with the queues locked.
     pub fn with<T>(&self, use_queues: impl FnOnce(&mut MoveQueues) -> T) -> T {
         use_queues(&mut self.lock())
     }
 }
 
-/// A place in the line of one engine's runs; dropping it lets the next one go on.
+/// A place in the queue of one engine's moves, released on drop.
 #[derive(Debug)]
 pub struct Ticket {
     shared: Shared,
@@ -177,7 +178,7 @@
 }
 
 impl Ticket {
-    /// Joins the line of `upstream`.
+    /// Joins the queue of `upstream`.
     pub fn join(shared: &Shared, upstream: &InstanceId) -> Self {
         let number = shared.turns().with(|queues| queues.join(upstream));
         shared.tell_news();
@@ -188,14 +189,14 @@
         }
     }
 
-    /// Tells the other hosts where the run goes.
+    /// Records where the run goes and announces it to peers.
     pub fn set_destination(&self, to: &InstanceId) {
         let queues = self.shared.turns();
         queues.with(|queues| queues.set_destination(&self.upstream, self.number, to));
         self.shared.tell_news();
     }
 
-    /// Waits for the turn, or until `deadline`.
+    /// Waits until the move may begin or `deadline` has passed, then marks it as in progress.
     pub async fn wait(self, deadline: Instant) -> Self {
         tokio::time::sleep(FIRST_REPORTS_WAIT).await;
         while Instant::now() < deadline && !self.may_begin() {
