--- a/src/gateway/destinations.rs
+++ b/src/gateway/destinations.rs
@@ -1,10 +1,10 @@
-//! Divides the engines that may take moved runs among the engines that are leaving.
+//! Assigns the engines that can take moved runs to the engines that are leaving.
 //!
-//! Copies to one engine wait for each other on its link. Where several engines leave at once, hosts
-//! that choose by themselves send copies of several of them to one engine, and a stopped run waits
-//! behind the others' first parts while its caller sees nothing. All hosts know the same list, so
-//! they divide it alike without a word: an engine takes runs of one leaving engine only, of its own
-//! data centre if one leaves there.
+//! Copies to one engine wait for each other on its link. When several engines leave at once, hosts that
+//! choose independently send copies from several of them to one engine, and a stopped run waits behind
+//! the first parts of the others while its caller receives nothing. All hosts have the same list of
+//! upstreams, so each computes the same assignment without coordination: an engine takes the runs of one
+//! leaving engine only, of its own data centre if one leaves there.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,17 +13,18 @@
 use crate::gateway::instance::InstanceId;
 use crate::id::DataCentre;
 
-/// The leaving engines among which the engines of a data centre are divided.
+/// The leaving engines to which the ready engines of a data centre are assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Those of the same data centre, if one leaves there.
+    /// Those of the same data centre, or all if none leaves there.
     Local,
-    /// All: where the engines divided among the near ones have no room.
+    /// All, for use when the engines assigned by [`Scope::Local`] have no room.
     All,
 }
 
-/// Those of `ready` that take the runs of `source`, which is one of `leaving`. Both lists are in
-/// the order of their ids. Empty where there are fewer engines left than are leaving.
+/// The engines of `ready` that take the runs of `source`, which is one of `leaving`. Both lists are
+/// sorted by id, so that all hosts get the same result. May be empty if fewer engines are ready than
+/// are leaving.
 pub(crate) fn assign(
     source: &InstanceId,
     leaving: &[Arc<Upstream>],
@@ -31,7 +32,7 @@
     scope: Scope,
 ) -> BTreeSet<InstanceId> {
     let data_centres: BTreeSet<&DataCentre> = ready.iter().map(|to| &to.data_centre).collect();
-    let shares = data_centres.into_iter().flat_map(|data_centre| {
+    let assigned = data_centres.into_iter().flat_map(|data_centre| {
         let sources = sources_for(data_centre, leaving, scope);
         let engines = ready.iter().filter(|to| to.data_centre == *data_centre);
         engines
@@ -40,10 +41,10 @@
             .map(|(_, to)| to.id.clone())
             .collect::<Vec<InstanceId>>()
     });
-    shares.collect()
+    assigned.collect()
 }
 
-/// The leaving engines whose runs go to the engines of a data centre.
+/// The leaving engines whose runs may go to the engines of `data_centre`.
 fn sources_for<'a>(
     data_centre: &DataCentre,
     leaving: &'a [Arc<Upstream>],
