--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -1,13 +1,14 @@
-//! Shares out among hosts what an upstream may get while it is cold.
+//! Limits the request rate to cold upstreams and divides it among hosts.
 //!
-//! The load that this answers: hundreds of hosts find one upstream empty beside full ones, each by counts that are
-//! some hundred milliseconds old, and all send there at once. One that has just started crashes under such a crowd,
-//! with all that it was given.
+//! Guards against a thundering herd: hundreds of hosts see one idle upstream beside full ones, by load
+//! reports that are some hundred milliseconds old, and all send to it at once. An upstream that has just
+//! started crashes under such a load, with every request it was given.
 //!
-//! No host asks another in the path of a request. Each knows the live hosts of its data centre, and by rendezvous
-//! hashing which of them send to a cold upstream: as many as it may get requests a second, one each, or all, with an
-//! equal part each, where they are fewer. Hosts elsewhere wait until it is warm; a cut then leaves one group of senders
-//! for it, not two. A host that has just started doesn't know the others yet and leaves cold upstreams to them.
+//! Hosts don't coordinate on the request path. Each knows the live hosts of its data centre and computes
+//! by rendezvous hashing which of them may send to a cold upstream: as many hosts as its allowed requests
+//! a second, one request each, or all hosts with equal quotas if there are fewer. Hosts of other data
+//! centres don't send until it is warm, so that a partition between data centres leaves one group of
+//! senders, not two. A host that has just started doesn't know its peers yet and sends nothing.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -19,15 +20,16 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// Part of what an upstream bears that is shared out. The rest is for hosts that count some of the others as gone.
+/// Share of the tolerated rate that is divided among hosts. The rest covers hosts that wrongly count some
+/// of their peers as gone and so take a larger quota.
 const ALLOCATED_SHARE: f64 = 0.8;
-/// What is allowed in a second is counted over this time, as requests of different hosts are under way for different
-/// times.
+/// Time over which a quota for one second is counted. The excess over a second allows for differences in
+/// network latency between hosts.
 const WINDOW: Duration = Duration::from_millis(1_100);
-/// A host hears the others of its data centre within this time of its start.
+/// Time after its start within which a host knows the other hosts of its data centre.
 const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(2);
 
-/// What is known of the host that asks, and of the others.
+/// The sending host and what it knows of its peers.
 #[derive(Debug, Clone, Copy)]
 pub struct Sender<'a> {
     /// The host.
@@ -45,9 +47,9 @@
 pub struct ColdUpstream<'a> {
     /// The upstream.
     pub upstream: &'a InstanceId,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: &'a DataCentre,
-    /// Requests that it may get in a second, of all hosts together.
+    /// Requests a second that it tolerates from all hosts together.
     pub requests_per_s: f64,
 }
 
@@ -56,25 +58,25 @@
     if sender.uptime < PEER_DISCOVERY_TIME || sender.data_centre != cold.data_centre {
         return 0;
     }
-    // One that bears a single request may get it.
+    // An upstream that tolerates a single request a second may still get that one.
     let allocated = ((cold.requests_per_s * ALLOCATED_SHARE) as usize).max(1);
     let hosts = sender.peers.len() + 1;
     if hosts <= allocated {
         return allocated / hosts;
     }
     let others = sender.peers.iter().map(HostId::as_str);
-    let before = rendezvous::count_before(sender.host.as_str(), others, cold.upstream.as_str());
-    usize::from(before < allocated)
+    let ahead = rendezvous::count_before(sender.host.as_str(), others, cold.upstream.as_str());
+    usize::from(ahead < allocated)
 }
 
-/// What this host sent to cold upstreams.
+/// Recent requests of this host to cold upstreams.
 #[derive(Debug, Default)]
 pub struct ColdBudget {
     sent: HashMap<InstanceId, VecDeque<Time>>,
 }
 
 impl ColdBudget {
-    /// Whether this host may send one request more to a cold upstream.
+    /// Whether this host may send another request to a cold upstream.
     pub fn allows(&self, now: Time, sender: &Sender<'_>, cold: &ColdUpstream<'_>) -> bool {
         let sent = self.sent.get(cold.upstream);
         let recent_requests = sent.map_or(0, |sent| {
@@ -84,14 +86,14 @@
         recent_requests < quota(sender, cold)
     }
 
-    /// A request goes to a cold upstream.
+    /// Counts a request sent to a cold upstream.
     pub fn spend(&mut self, now: Time, upstream: &InstanceId) {
         let sent = self.sent.entry(upstream.clone()).or_default();
         sent.retain(|at| now.since(*at) < WINDOW);
         sent.push_back(now);
     }
 
-    /// Forgets what counts no more.
+    /// Removes requests that are older than the window.
     pub fn prune(&mut self, now: Time) {
         self.sent.retain(|_, sent| {
             sent.retain(|at| now.since(*at) < WINDOW);
--- a/src/gateway/cold/tests.rs
+++ b/src/gateway/cold/tests.rs
@@ -15,16 +15,17 @@
 use crate::id::HostId;
 use crate::id::UpstreamId;
 
-/// What a cold upstream tolerates in a second, and the bound beyond which it is broken.
+/// Requests a second that a cold upstream tolerates.
 const TOLERATED_PER_S: f64 = 25.0;
+/// Requests a second beyond which the tolerance counts as exceeded.
 const BOUND_PER_S: usize = 42;
-/// Older than a host that has just started.
+/// Uptime of a host that knows its peers.
 const ESTABLISHED_UPTIME: Duration = Duration::from_secs(60);
-/// Seconds that are drawn for each size of a data centre.
+/// Seconds simulated for each number of hosts.
 const SECONDS: usize = 1_000;
-/// Of the hosts of its data centre a host doesn't hear one in so many.
+/// A host is missing one in this many peers of its data centre.
 const UNSEEN_ONE_IN: u32 = 20;
-/// A request arrives within this time of its sending.
+/// Longest time from sending a request to its arrival.
 const LATENCY_MAX: Duration = Duration::from_millis(50);
 
 fn hosts(count: usize) -> Vec<HostId> {
@@ -40,7 +41,7 @@
     DataCentre::new("north")
 }
 
-/// What each of `hosts` may send to an upstream, of whom each hears those that `hears` lets it hear.
+/// The quota of each of `hosts` at an upstream; `sees` decides for each pair whether a host knows the peer.
 fn quotas(hosts: &[HostId], upstream: &InstanceId, mut sees: impl FnMut() -> bool) -> Vec<usize> {
     let cold = ColdUpstream {
         upstream,
@@ -61,8 +62,8 @@
     hosts.iter().map(of_host).collect()
 }
 
-/// The most requests that arrive in a second where each host sends all that it may as soon as it may, from some
-/// moment of the first second on.
+/// The most requests that arrive within a second if each host spends its quota as soon as it may, starting
+/// at a random time in the first second.
 fn most_in_a_second(quotas: &[usize], random: &mut ChaCha8Rng) -> usize {
     let mut arrivals = Vec::new();
     for quota in quotas {
@@ -178,8 +179,8 @@
     assert!(budget.allows(later, &sender, &cold));
 }
 
-/// What is sent to an upstream within one window if all of `hosts` spend their shares, those after `left` then end, and the
-/// others spend what their new shares leave them.
+/// Requests to an upstream within one window if all of `hosts` spend their quotas, only the first `left` of
+/// them go on, and these spend what their larger quotas add.
 fn sent_around_a_stop(hosts: &[HostId], left: usize, upstream: &InstanceId) -> usize {
     let before = quotas(hosts, upstream, || true);
     let after = quotas(&hosts[..left], upstream, || true);
@@ -188,7 +189,7 @@
     before.iter().sum::<usize>() + more.sum::<usize>()
 }
 
-// Hosts that are left take the shares of those that end, which have spent them in the same second.
+// The remaining hosts take over the quotas of the stopped ones, which these have spent in the same second.
 #[test]
 fn hosts_that_stop_together_and_the_remaining_ones_keep_the_bound() {
     for count in [2, 3, 6, 21, 74, 100] {
