--- a/src/gateway/enginestats.rs
+++ b/src/gateway/enginestats.rs
@@ -1,48 +1,51 @@
-//! How fast engines read prompts and give memory back, as this host observes it.
+//! Statistics of how fast engines read prompts and free memory, as observed by this host.
 //!
-//! Both change with the load and differ between deployments, so the bounds of waiting are taken from
-//! what was observed of late, not fixed. Each starts from a guess that counts like some requests.
+//! Both change with the load and differ between deployments, so the limits on waiting come from recent
+//! observations instead of fixed values. Each statistic starts from a prior with the weight of some
+//! requests.
 
 use std::time::Duration;
 
-/// What is older counts by this factor at each new observation: about the last fifty count.
+/// Factor by which older observations decay at each new one: about the last fifty count.
 const DECAY: f64 = 0.98;
-/// Part of the first events that come within the time that is reckoned with: at least this while hardly any come
-/// late, since one that isn't tried is certainly lost,
+/// Quantile of the errors used for the bound while hardly any first event is late. A generation that isn't
+/// tried is certainly lost, so a few late ones are accepted.
 const QUANTILE_MIN: f64 = 0.85;
-/// and at most this, where many do: each that comes late has taken an engine's time from one that would not.
+/// Quantile of the errors used for the bound while many first events are late. Each late one takes engine
+/// time from one that would have been in time.
 const QUANTILE_MAX: f64 = 0.97;
-/// A first event that came late makes a host as cautious as it can be, and twenty in time make it as bold.
+/// Rise of the caution at a late first event: one sets it to its maximum.
 const CAUTION_STEP_LATE: f64 = 1.0;
+/// Fall of the caution at a first event in time: twenty take it from its maximum to 0.
 const CAUTION_STEP_IN_TIME: f64 = 0.05;
-/// A host that has observed nothing is half as cautious.
+/// Caution of a host without observations.
 const CAUTION_INITIAL: f64 = 0.5;
-/// Errors of expected times are counted in classes of this width,
+/// Width of a bucket in the histogram of errors, which are actual minus expected times to the first event.
 const ERROR_BUCKET_S: f64 = 0.05;
-/// the first of which begins this much below the expected time.
+/// Lower end of the first bucket; smaller errors count in it.
 const ERROR_MIN_S: f64 = -1.0;
-/// Classes; what lies beyond counts in the last one.
+/// Number of buckets; larger errors count in the last one.
 const ERROR_BUCKETS: usize = 80;
-/// Weight of the first guess of errors, in prompts.
+/// Weight of the prior error, in prompts.
 const ERROR_PRIOR_WEIGHT: f64 = 10.0;
-/// First guess of prompt tokens read a second, beside what runs.
+/// Prior rate of reading prompts beside running generations.
 const PREFILL_PRIOR_TOKENS_PER_S: f64 = 7_000.0;
-/// Tokens that this guess counts like: ten prompts.
+/// Weight of the prior rate in tokens: about ten prompts.
 const PREFILL_PRIOR_TOKENS: f64 = 30_000.0;
-/// First guess of the error that so many don't exceed.
+/// Prior error of expected first events.
 const ERROR_PRIOR: Duration = Duration::from_millis(600);
-/// First guess of the mean time for which memory is taken.
+/// Prior mean time for which memory is held.
 const TURNOVER_PRIOR: Duration = Duration::from_millis(4_000);
-/// Tokens that this guess counts like: twenty-five generations.
+/// Weight of the prior turnover in tokens: about twenty-five generations.
 const TURNOVER_PRIOR_TOKENS: f64 = 100_000.0;
 
-/// What was observed.
+/// Decaying statistics of first events and completed generations.
 #[derive(Debug, Clone)]
 pub struct EngineStats {
     prefill_tokens: f64,
     prefill_s: f64,
     errors: [f64; ERROR_BUCKETS],
-    /// From 0, while first events come in time, to 1.
+    /// From 0, while first events are in time, to 1, while they are late.
     caution: f64,
     ended_tokens: f64,
     ended_token_s: f64,
@@ -73,8 +76,8 @@
 }
 
 impl EngineStats {
-    /// A first event came `time` after its request was sent, where with its own prompt `tokens` were
-    /// still to be read.
+    /// Records a first event that came `time` after its request was sent, when `tokens` were still to be
+    /// read at the engine, including its own prompt.
     pub fn record_first_event(&mut self, tokens: u32, time: Duration) {
         let error_s = time.as_secs_f64() - self.expected_first_event(tokens).as_secs_f64();
         self.errors.iter_mut().for_each(|count| *count *= DECAY);
@@ -83,7 +86,7 @@
         self.prefill_s = self.prefill_s * DECAY + time.as_secs_f64();
     }
 
-    /// Whether a first event came within its request's objective.
+    /// Records whether a first event came within the objective of its request.
     pub fn record_objective(&mut self, in_time: bool) {
         let caution = match in_time {
             true => self.caution - CAUTION_STEP_IN_TIME,
@@ -92,30 +95,30 @@
         self.caution = caution.clamp(0.0, 1.0);
     }
 
-    /// How cautious waiting is to be: 0 while first events come in time, 1 while many come late.
+    /// How cautious admission should be: 0 while first events are in time, 1 while many are late.
     pub fn caution(&self) -> f64 {
         self.caution
     }
 
-    /// A generation that was planned to take `tokens` has ended `time` after it was sent.
+    /// Records a generation planned at `tokens` that ended `time` after it was sent.
     pub fn record_end(&mut self, tokens: u32, time: Duration) {
         let tokens = f64::from(tokens);
         self.ended_tokens = self.ended_tokens * DECAY + tokens;
         self.ended_token_s = self.ended_token_s * DECAY + tokens * time.as_secs_f64();
     }
 
-    /// The expected time until a first event where `tokens` are still to be read.
+    /// Mean time to a first event when `tokens` are still to be read.
     fn expected_first_event(&self, tokens: u32) -> Duration {
         Duration::from_secs_f64(f64::from(tokens) * self.prefill_s / self.prefill_tokens)
     }
 
-    /// The time within which nearly all first events come where `tokens` are still to be read.
+    /// Time within which nearly all first events come when `tokens` are still to be read.
     pub fn first_event_bound(&self, tokens: u32) -> Duration {
         let bound_s = self.expected_first_event(tokens).as_secs_f64() + self.error_quantile_s();
         Duration::from_secs_f64(bound_s.max(0.0))
     }
 
-    /// The error that the part of the errors which is reckoned with doesn't exceed.
+    /// Quantile of the errors, from [`QUANTILE_MIN`] to [`QUANTILE_MAX`] as the caution rises.
     fn error_quantile_s(&self) -> f64 {
         let quantile = QUANTILE_MIN + (QUANTILE_MAX - QUANTILE_MIN) * self.caution;
         let all: f64 = self.errors.iter().sum();
@@ -129,7 +132,7 @@
         ERROR_MIN_S + ERROR_BUCKETS as f64 * ERROR_BUCKET_S
     }
 
-    /// The mean time for which a token of memory is taken.
+    /// Mean time for which a token of memory is held.
     pub fn turnover(&self) -> Duration {
         Duration::from_secs_f64(self.ended_token_s / self.ended_tokens)
     }
--- a/src/gateway/enginestats/tests.rs
+++ b/src/gateway/enginestats/tests.rs
@@ -40,7 +40,8 @@
     assert!(turnover > Duration::from_secs(8) && turnover < Duration::from_secs(10));
 }
 
-// A margin of four mean errors was raised for the next fifty generations, at all engines, by one engine that had gone dark.
+// Guards against an outlier that inflates the bound: with a margin of four mean errors, one unresponsive
+// engine raised it for the next fifty generations at all engines.
 #[test]
 fn one_very_late_first_event_does_not_raise_the_margin() {
     let mut stats = EngineStats::default();
