--- a/src/gateway/partition.rs
+++ b/src/gateway/partition.rs
@@ -1,43 +1,44 @@
-//! Whether a cut keeps this host from all upstreams of a service that others can reach.
+//! Detects a network partition that separates this host from all upstreams of a service.
 //!
-//! Behind a cut between data centres a service may have no upstream left, while its callers still reach
-//! the hosts there. Their balancer sends them elsewhere once the hosts say that they aren't ready. Only
-//! a silence of all other data centres shows that others may serve better: where a service is gone for
-//! all, nobody does, and a host that went out of rotation for it would take its other services along.
+//! In a partition between data centres, a service may have no reachable upstream on one side while its
+//! callers still reach the hosts there. The load balancer sends them elsewhere once those hosts report
+//! that they aren't ready. A host does so only if all other data centres are silent, which suggests that
+//! hosts elsewhere still reach the service. If the service is down everywhere, no host can serve it, and
+//! leaving the rotation would only take this host's other services down with it.
 
 use std::time::Duration;
 
 use crate::id::ServiceId;
 
-/// After a silence of all hosts of other data centres for so long a cut is likely: two rounds of each.
+/// Silence of all other data centres after which a partition is assumed: two gossip rounds of each host.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What is believed.
+/// Tracks the service that a partition has made unreachable, if any.
 #[derive(Debug, Default)]
 pub(crate) struct PartitionDetector {
     service: Option<ServiceId>,
 }
 
-/// A change of the belief.
+/// A change of what the detector reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum PartitionChange {
-    /// No upstream of the service can be reached.
+    /// No upstream of the service is reachable.
     Lost(ServiceId),
-    /// Other data centres are heard again.
+    /// Messages of another data centre arrive again, after the service was lost.
     Restored(ServiceId),
 }
 
 impl PartitionDetector {
-    /// Whether the host is cut off from a service.
+    /// Whether a partition separates the host from a service.
     pub(crate) fn is_partitioned(&self) -> bool {
         self.service.is_some()
     }
 
-    /// Looks again. `silence` is for how long no other data centre was heard, if one ever was; `lost`
-    /// looks for a service of which no upstream can be reached.
+    /// Checks for a partition. `silence` is the time since the last message of another data centre, none
+    /// before the first one; `find_lost` returns a service without a reachable upstream, if there is one.
     ///
-    /// A service that was lost stays so until others are heard: its callers went elsewhere, and no
-    /// request shows whether its upstreams are back.
+    /// A lost service stays lost until another data centre is heard: its callers have gone elsewhere, so
+    /// no request shows whether its upstreams are reachable again.
     pub(crate) fn update(
         &mut self,
         silence: Option<Duration>,
