--- a/tests/coldupstreams/mod.rs
+++ b/tests/coldupstreams/mod.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are cold bear few requests a second, of all hosts together.
+//! Hosts together keep to the request rate that a cold upstream tolerates.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,14 +17,14 @@
 use crate::post;
 
 const HOSTS: usize = 20;
-/// What a cold upstream of these services bears in a second, with the tolerance of the platform.
+/// Most requests a second to a cold upstream of these services, including the platform's tolerance.
 const TOLERATED_PER_S: usize = 12;
-/// A sound upstream that is listed serves within this time.
+/// A healthy upstream serves within this time of being listed.
 const SERVED_WITHIN: Duration = Duration::from_secs(2);
-/// For longer than any test lasts.
+/// Longer than any of the tests.
 const ALWAYS_COLD: Duration = Duration::from_secs(60);
 
-/// Hosts with a warm upstream in another data centre than their own.
+/// Starts hosts that know each other, with a warm upstream in another data centre than their own.
 fn fleet_with_warm_upstream() -> (Vec<World>, FakeUpstream) {
     let hosts = World::start_new_fleet(HOSTS);
     let sound = [Behaviour::Answer(200, "sound")];
@@ -33,7 +33,7 @@
     let log = &hosts[0].log;
     log.put("operator", "table", &table(1, json!([route("idempotent")])));
     assert!(wait_until(|| hosts.iter().all(World::is_ready)));
-    // Hosts know each other by now.
+    // After these requests the hosts know each other.
     std::iter::repeat_with(|| hosts.iter().for_each(ask_once))
         .take(3)
         .for_each(drop);
@@ -50,7 +50,7 @@
     host.log.put("upstreams", upstream.id(), &entry);
 }
 
-/// Requests that reached `upstream` at most within a second of those that the hosts are sent for `time`.
+/// Sends requests to all hosts for `time` and returns the most that reached `upstream` within a second.
 fn most_in_a_second(hosts: &[World], upstream: &FakeUpstream, time: Duration) -> usize {
     let ends = Instant::now() + time;
     while Instant::now() < ends {
@@ -67,7 +67,8 @@
     arrivals.iter().map(within).max().unwrap_or(0)
 }
 
-// All hosts found an empty upstream of their own data centre at once, and sent all that they had.
+// Guards against a thundering herd: all hosts saw an idle upstream of their own data centre at once and sent
+// it everything they had.
 #[test]
 fn hosts_together_keep_the_rate_of_a_cold_upstream() {
     let (hosts, _warm) = fleet_with_warm_upstream();
@@ -106,7 +107,8 @@
     assert!(warm.seen().len() > before);
 }
 
-// Three cold upstreams that crash would else have a sound request held back as one that crashes what runs it.
+// Guards against a false suspicion: cold upstreams may crash under any request, and three crashes would
+// otherwise hold back a harmless one.
 #[test]
 fn a_crash_of_a_cold_upstream_does_not_count_against_the_request() {
     let hosts = World::start_new_fleet(1);
