--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -1,7 +1,8 @@
-//! The generations of this host that wait for room at an engine.
+//! The queue of this host's generations that wait for room at an engine.
 //!
-//! The most urgent rank goes first; within it the customer of whom least runs at this host, so that
-//! one who sends many times its usual waits behind the others; then who came first.
+//! Ordered by rank, the most urgent first; then by the tokens of the customer that run at this host,
+//! fewest first, so that a customer at many times its usual rate waits behind the others; then by
+//! arrival.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,8 +15,8 @@
 use crate::event::EventCode;
 use crate::gateway::admit;
 use crate::gateway::admit::Demand;
-use crate::gateway::admit::Prospect;
 use crate::gateway::admit::Verdict;
+use crate::gateway::admit::WaitEstimate;
 use crate::gateway::enginestats::EngineStats;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Occupied;
@@ -32,12 +33,12 @@
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
-/// How often one that waits looks for room: hosts tell each other what ended four times a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often a queued generation checks for room. Hosts announce ended generations four times a second.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One that waits.
+/// A queued generation.
 #[derive(Debug, Clone)]
-struct Waiting {
+struct QueueEntry {
     number: u64,
     service: ServiceId,
     rank: u8,
@@ -45,13 +46,13 @@
     tokens: u32,
 }
 
-/// Those that wait, what runs of each customer, and the stats of engines.
+/// Queued generations of all services, running tokens by customer, and statistics of engines.
 #[derive(Debug, Default)]
 pub struct Queues {
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueueEntry>,
     running_tokens: HashMap<CustomerId, u64>,
     next_number: u64,
-    /// What was observed of engines.
+    /// This host's observations of engines.
     pub stats: EngineStats,
 }
 
@@ -64,7 +65,7 @@
         tokens: u32,
     ) -> u64 {
         self.next_number += 1;
-        self.waiting.push(Waiting {
+        self.waiting.push(QueueEntry {
             number: self.next_number,
             service: service.clone(),
             rank,
@@ -78,34 +79,35 @@
         self.waiting.retain(|other| other.number != number);
     }
 
-    fn running(&self, customer: Option<&CustomerId>) -> u64 {
+    fn customer_tokens(&self, customer: Option<&CustomerId>) -> u64 {
         let running = customer.and_then(|customer| self.running_tokens.get(customer));
         running.copied().unwrap_or(0)
     }
 
-    /// Tokens needed by those that go before `number`.
+    /// Tokens needed by the generations of the same service that go before `number`.
     fn ahead_tokens(&self, number: u64) -> u64 {
-        let key = |waiting: &Waiting| {
-            let running = self.running(waiting.customer.as_ref());
+        let key = |waiting: &QueueEntry| {
+            let running = self.customer_tokens(waiting.customer.as_ref());
             (waiting.rank, running, waiting.number)
         };
         let Some(own) = self.waiting.iter().find(|other| other.number == number) else {
             return 0;
         };
-        let line = self
+        let queue = self
             .waiting
             .iter()
             .filter(|other| other.service == own.service);
-        line.filter(|other| key(other) < key(own))
+        queue
+            .filter(|other| key(other) < key(own))
             .map(|other| u64::from(other.tokens))
             .sum()
     }
 
-    fn start(&mut self, customer: &CustomerId, tokens: u32) {
+    fn add_running(&mut self, customer: &CustomerId, tokens: u32) {
         *self.running_tokens.entry(customer.clone()).or_default() += u64::from(tokens);
     }
 
-    fn end(&mut self, customer: &CustomerId, tokens: u32) {
+    fn remove_running(&mut self, customer: &CustomerId, tokens: u32) {
         let Some(running) = self.running_tokens.get_mut(customer) else {
             return;
         };
@@ -116,84 +118,85 @@
     }
 }
 
-/// A handle on the lines; clones share them.
+/// A shared handle to the queues; clones refer to the same ones.
 #[derive(Debug, Clone, Default)]
 pub struct QueueHandle(Arc<Mutex<Queues>>);
 
 impl QueueHandle {
-    /// Runs `use_lines` on the lines.
-    pub fn with<T>(&self, use_lines: impl FnOnce(&mut Queues) -> T) -> T {
-        use_lines(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Runs `use_queues` with the queues locked.
+    pub fn with<T>(&self, use_queues: impl FnOnce(&mut Queues) -> T) -> T {
+        use_queues(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Counts a generation as running for its customer until the guard is dropped.
+    /// Counts `tokens` as running for `customer` until the guard is dropped.
     pub fn track_running(&self, customer: Option<&CustomerId>, tokens: u32) -> RunningGuard {
         if let Some(customer) = customer {
-            self.with(|lines| lines.start(customer, tokens));
+            self.with(|queues| queues.add_running(customer, tokens));
         }
         RunningGuard {
-            board: self.clone(),
+            queues: self.clone(),
             customer: customer.cloned(),
             tokens,
-            began: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
 
-/// What a running generation counts for its customer.
+/// Counts a generation as running for its customer while it lives.
 #[derive(Debug)]
 pub struct RunningGuard {
-    board: QueueHandle,
+    queues: QueueHandle,
     customer: Option<CustomerId>,
     tokens: u32,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl RunningGuard {
-    /// The generation has ended by itself. One that broke or never ran tells nothing of how long memory is
-    /// taken.
+    /// Records a generation that ran to its end. Broken ones and ones that never ran are not recorded: they
+    /// say nothing about how long memory is held.
     pub fn complete(&self) {
-        let time = self.began.elapsed();
-        self.board
-            .with(|lines| lines.stats.record_end(self.tokens, time));
+        let time = self.started_at.elapsed();
+        self.queues
+            .with(|queues| queues.stats.record_end(self.tokens, time));
     }
 }
 
 impl Drop for RunningGuard {
     fn drop(&mut self) {
         if let Some(customer) = &self.customer {
-            self.board.with(|lines| lines.end(customer, self.tokens));
+            self.queues
+                .with(|queues| queues.remove_running(customer, self.tokens));
         }
     }
 }
 
-/// A place in the line, given up when it is dropped.
+/// A place in the queue, released on drop.
 struct Ticket {
-    board: QueueHandle,
+    queues: QueueHandle,
     number: u64,
 }
 
 impl Ticket {
     fn join(shared: &Shared, admitted: &Admitted, tokens: u32) -> Self {
-        let board = shared.queues().clone();
+        let queues = shared.queues().clone();
         let customer = admitted.customer.as_ref();
-        let number =
-            board.with(|lines| lines.join(&admitted.service, admitted.priority, customer, tokens));
-        Ticket { board, number }
+        let number = queues
+            .with(|queues| queues.join(&admitted.service, admitted.priority, customer, tokens));
+        Ticket { queues, number }
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.board.with(|lines| lines.leave(self.number));
+        self.queues.with(|queues| queues.leave(self.number));
     }
 }
 
-/// The engine at which a generation starts, at once or after a wait; none if there is no engine left.
+/// Chooses the engine at which a generation starts, waiting for room if needed; none if no engine is left.
 ///
 /// # Errors
 ///
-/// The refusal of one for which no room is expected in time.
+/// A refusal if no room is expected in time or the request is held back.
 pub async fn wait_for_room(
     shared: &Shared,
     admitted: &Admitted,
@@ -203,17 +206,17 @@
     let tokens = need.tokens();
     let ticket = Ticket::join(shared, admitted, tokens);
     let mut waited = None;
-    let mut has_asked = false;
+    let mut has_refreshed = false;
     let mut breadth = Breadth::at_first(shared, &admitted.service);
-    let mut reserved: Option<Reserved> = None;
+    let mut reservation: Option<Reservation> = None;
     loop {
-        // Upstreams may crash under a repeat while this one waits.
+        // Another attempt of the same content may crash upstreams during the wait.
         if let Some(refusal) = shared.refuse_suspect(admitted) {
             return Err(refusal);
         }
         shared.check_suspension();
         if shared.is_resuming() {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
         let mut candidates = serve::candidates(shared, admitted, avoid, breadth);
@@ -223,26 +226,26 @@
                 Breadth::All => return Ok(None),
             }
         }
-        if let Some(reserved) = &reserved {
-            reserved.leave_out(&mut candidates);
+        if let Some(reservation) = &reservation {
+            reservation.subtract_from(&mut candidates);
         }
         let demand = Demand {
             need,
             objective: admitted.route.objective,
             waited,
         };
-        let believed = Believed::new(shared, &ticket, &candidates);
-        let verdict = believed.decide(shared, &demand, &candidates);
+        let inputs = DecisionInputs::new(shared, &ticket, &candidates);
+        let verdict = inputs.decide(shared, &demand, &candidates);
         let is_sound = matches!(&verdict, Verdict::Start(candidate) if !candidate.unhealthy);
         if !is_sound && std::mem::replace(&mut breadth, Breadth::All) == Breadth::Few {
             continue;
         }
-        if !has_asked && rests_on_old_words(shared, &verdict) {
-            has_asked = true;
+        if !has_refreshed && uses_stale_loads(shared, &verdict) {
+            has_refreshed = true;
             shared.query_remote_loads().await;
             continue;
         }
-        // A version that is tried is no reason to wait.
+        // Rather than wait for the version under trial, fall back to the proved one.
         let is_start = matches!(verdict, Verdict::Start(_));
         if !is_start && admitted.track.replace(Track::Stable) == Track::Trial {
             continue;
@@ -250,45 +253,45 @@
         match verdict {
             Verdict::Start(candidate) => return Ok(Some(candidate)),
             Verdict::Wait => {
-                if reserved.is_none() {
-                    believed.note(shared, admitted, "waits");
-                    reserved = Reserved::at_best(shared, need, &candidates);
+                if reservation.is_none() {
+                    inputs.log(shared, admitted, "waits");
+                    reservation = Reservation::reserve(shared, need, &candidates);
                 }
             }
-            Verdict::Refuse(prospect) => {
-                believed.note(shared, admitted, "refused");
-                return Err(refusal(shared, admitted, prospect));
+            Verdict::Refuse(estimate) => {
+                inputs.log(shared, admitted, "refused");
+                return Err(refusal(shared, admitted, estimate));
             }
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         waited = Some(admitted.arrived.elapsed());
     }
 }
 
-/// Room that one which waits has others leave to it. Short generations of other hosts would else take what becomes
-/// free, again and again, and long ones never start.
-struct Reserved {
+/// Room that a queued generation reserves at an engine. Otherwise short generations of other hosts take
+/// the room as it becomes free, and long ones starve.
+struct Reservation {
     upstream: InstanceId,
     tokens: u32,
     _occupied: Occupied,
 }
 
-impl Reserved {
-    fn at_best(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Self> {
+impl Reservation {
+    fn reserve(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Self> {
         let best = serve::choose(shared, need, candidates)?;
         let tokens = need.tokens();
         let upstream = best.upstream.id.clone();
         let occupied = shared.loads().occupy(&upstream, tokens, 0);
         shared.announce_now();
-        Some(Reserved {
+        Some(Reservation {
             upstream,
             tokens,
             _occupied: occupied,
         })
     }
 
-    /// Its own reservation is not in its way.
-    fn leave_out(&self, candidates: &mut [Candidate]) {
+    /// Takes the reservation off its engine's load, so that it doesn't block its own generation.
+    fn subtract_from(&self, candidates: &mut [Candidate]) {
         let own = candidates
             .iter_mut()
             .find(|candidate| candidate.upstream.id == self.upstream);
@@ -299,9 +302,9 @@
     }
 }
 
-/// Whether a verdict rests on what was heard of other data centres a while ago: to start there, or to start nowhere.
-/// Hosts that go by old words meet each other at one engine, where each waits for the other's prompt.
-fn rests_on_old_words(shared: &Shared, verdict: &Verdict) -> bool {
+/// Whether a verdict to start in another data centre, or nowhere, relies on stale load reports. Hosts that
+/// act on stale reports pick the same engine, where each waits for the others' prompts.
+fn uses_stale_loads(shared: &Shared, verdict: &Verdict) -> bool {
     let leaves_home = match verdict {
         Verdict::Start(candidate) => {
             candidate.upstream.data_centre != shared.settings().data_centre
@@ -311,8 +314,8 @@
     leaves_home && !shared.data_centres_to_query(shared.now()).is_empty()
 }
 
-/// What a decision about one that waits rests on.
-struct Believed {
+/// The values from which the admission of a queued generation is decided.
+struct DecisionInputs {
     ahead_tokens: u64,
     taken_tokens: u64,
     hosts: usize,
@@ -320,13 +323,13 @@
     stats: EngineStats,
 }
 
-impl Believed {
+impl DecisionInputs {
     fn new(shared: &Shared, ticket: &Ticket, candidates: &[Candidate]) -> Self {
         let (ahead_tokens, stats) = shared
             .queues()
-            .with(|lines| (lines.ahead_tokens(ticket.number), lines.stats.clone()));
+            .with(|queues| (queues.ahead_tokens(ticket.number), queues.stats.clone()));
         let taken = candidates.iter();
-        Believed {
+        DecisionInputs {
             ahead_tokens,
             taken_tokens: taken
                 .map(|candidate| u64::from(candidate.load.tokens))
@@ -338,7 +341,7 @@
     }
 
     fn decide(&self, shared: &Shared, demand: &Demand, candidates: &[Candidate]) -> Verdict {
-        let line = admit::QueueState {
+        let queue = admit::QueueState {
             ahead_tokens: self.ahead_tokens,
             taken_tokens: self.taken_tokens,
             hosts: self.hosts,
@@ -346,16 +349,17 @@
         };
         admit::decide(
             demand,
-            &line,
+            &queue,
             candidates,
             shared.view(),
             rand::random::<f64>,
         )
     }
 
-    fn note(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
-        let line = admitted.line(shared, EventCode::RequestQueued);
-        line.with("outcome", outcome)
+    fn log(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
+        let entry = admitted.line(shared, EventCode::RequestQueued);
+        entry
+            .with("outcome", outcome)
             .with("ahead_tokens", self.ahead_tokens)
             .with("taken_tokens", self.taken_tokens)
             .with("engines", self.engines)
@@ -366,14 +370,14 @@
     }
 }
 
-fn refusal(shared: &Shared, admitted: &Admitted, prospect: Prospect) -> Refusal {
+fn refusal(shared: &Shared, admitted: &Admitted, estimate: WaitEstimate) -> Refusal {
     let left = admitted.time_left();
     let run = stream::expected_run(shared, admitted);
-    let again = admit::return_after(left, run, prospect.expected, rand::random());
+    let again = admit::retry_after(left, run, estimate.expected, rand::random());
     let message = format!(
         "room is expected in {} ms, and it can wait {} ms",
-        prospect.expected.as_millis(),
-        prospect.patience.as_millis()
+        estimate.expected.as_millis(),
+        estimate.limit.as_millis()
     );
     Refusal::not_run(Code::Overloaded, message).retry_after_ms(again.as_millis() as u64)
 }
