--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -24,23 +24,23 @@
 
 /// Between two rounds: engines give at least 1.5 s of notice and their word is half a second old,
 /// so most of a second is left to move what runs there.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// An engine of the data centre that doesn't answer within this time can't be reached.
-const ASK_TIMEOUT: Duration = Duration::from_millis(200);
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Asks for ever, while there is need.
 pub async fn run(shared: Shared) {
     loop {
-        tick(ASK_INTERVAL).await;
+        tick(POLL_INTERVAL).await;
         if !shared.hears_log(Topic::Upstreams) {
-            let engines = engines_to_ask(&shared);
-            join_all(engines.iter().map(|engine| ask(&shared, engine))).await;
+            let engines = engines_to_poll(&shared);
+            join_all(engines.iter().map(|engine| poll(&shared, engine))).await;
         }
     }
 }
 
 /// The engines of this data centre with work whose word this host is to ask for.
-fn engines_to_ask(shared: &Shared) -> Vec<Arc<Upstream>> {
+fn engines_to_poll(shared: &Shared) -> Vec<Arc<Upstream>> {
     let Some(configuration) = shared.configuration() else {
         return Vec::new();
     };
@@ -53,44 +53,44 @@
         .filter(|upstream| upstream.data_centre == settings.data_centre)
         .filter(|upstream| configuration.engine(&upstream.service).is_some())
         .filter(|upstream| shared.loads().with(|loads| loads.at(&upstream.id)).requests > 0)
-        .filter(|upstream| is_asker(&settings.host, &hosts, &upstream.id))
+        .filter(|upstream| is_poller(&settings.host, &hosts, &upstream.id))
         .collect()
 }
 
 /// Whether `host` asks the engine, and none of `others`.
-fn is_asker(host: &HostId, others: &[HostId], engine: &InstanceId) -> bool {
+fn is_poller(host: &HostId, others: &[HostId], engine: &InstanceId) -> bool {
     let others = others.iter().map(HostId::as_str);
     rendezvous::is_first(host.as_str(), others, engine.as_str())
 }
 
-async fn ask(shared: &Shared, engine: &Upstream) {
+async fn poll(shared: &Shared, engine: &Upstream) {
     let call = shared.protocol().report_call();
     let mut client = OwnClient::new(engine.address);
-    match client.call(&call, ASK_TIMEOUT).await {
-        Ok((200, body)) => take_report(shared, engine, &body),
-        Ok((status, _)) => note_no_report(shared, engine, &format!("status {status}")),
+    match client.call(&call, POLL_TIMEOUT).await {
+        Ok((200, body)) => handle_report(shared, engine, &body),
+        Ok((status, _)) => log_missing_report(shared, engine, &format!("status {status}")),
         Err(error) => shared.upstream_unreachable(&engine.id, &error.to_string()),
     }
 }
 
-fn take_report(shared: &Shared, engine: &Upstream, body: &[u8]) {
+fn handle_report(shared: &Shared, engine: &Upstream, body: &[u8]) {
     match shared.protocol().decode_report(body) {
         Ok(report) if report.leaving => {
-            shared.witness_leaving(&teller(&engine.id, &report), "its own report");
+            shared.witness_leaving(&reporting_instance(&engine.id, &report), "its own report");
         }
         Ok(_) => {}
-        Err(error) => note_no_report(shared, engine, &error.to_string()),
+        Err(error) => log_missing_report(shared, engine, &error.to_string()),
     }
 }
 
 /// The instance that tells; by now it may be a later one than was asked.
-fn teller(asked: &InstanceId, report: &EngineReport) -> InstanceId {
-    let born_ms = report.born_ms.or(asked.born_ms());
-    InstanceId::new(asked.upstream().clone(), born_ms)
+fn reporting_instance(polled: &InstanceId, report: &EngineReport) -> InstanceId {
+    let born_ms = report.born_ms.or(polled.born_ms());
+    InstanceId::new(polled.upstream().clone(), born_ms)
 }
 
 /// An engine that is too busy to tell, or tells what can't be read, says nothing of its leaving.
-fn note_no_report(shared: &Shared, engine: &Upstream, reason: &str) {
+fn log_missing_report(shared: &Shared, engine: &Upstream, reason: &str) {
     let line = shared.log().line(EventCode::RecordSkipped);
     line.with("source", "an engine's report")
         .with("upstream", engine.id.as_str())
--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -5,7 +5,7 @@
 //! in whatever order words arrive and however many are lost.
 //!
 //! A log that returns from an older copy may lack an evacuation until operators have written it again. One that was
-//! in force in an earlier history is therefore kept for [`KEPT_FOR`], unless the later history tells of it.
+//! in force in an earlier history is therefore kept for [`RETENTION`], unless the later history tells of it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use crate::id::DataCentre;
 
 /// Operators have written again by then what the log lost in its return.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+const RETENTION: Duration = Duration::from_secs(10);
 
 /// What a record of the operators says of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     as_of: Position,
     data_centres: BTreeSet<DataCentre>,
     /// What was evacuated in an earlier history of the log, and until when that counts.
-    kept_until: BTreeMap<DataCentre, Time>,
+    retained_until: BTreeMap<DataCentre, Time>,
 }
 
 impl Evacuations {
@@ -74,13 +74,13 @@
 
     /// Whether the upstreams of a data centre get no new work.
     pub fn contains(&self, data_centre: &DataCentre) -> bool {
-        self.data_centres.contains(data_centre) || self.kept_until.contains_key(data_centre)
+        self.data_centres.contains(data_centre) || self.retained_until.contains_key(data_centre)
     }
 
     /// The data centres that are evacuated.
     pub fn all(&self) -> BTreeSet<DataCentre> {
-        let kept = self.kept_until.keys();
-        self.data_centres.iter().chain(kept).cloned().collect()
+        let retained = self.retained_until.keys();
+        self.data_centres.iter().chain(retained).cloned().collect()
     }
 
     /// Takes all that the log holds as of `as_of`.
@@ -90,12 +90,12 @@
         data_centres: BTreeSet<DataCentre>,
         as_of: Position,
     ) -> Vec<EvacuationChange> {
-        let told = AnnouncedEvacuations {
+        let announced = AnnouncedEvacuations {
             as_of,
             data_centres,
             kept_ms: BTreeMap::new(),
         };
-        self.merge(now, &told)
+        self.merge(now, &announced)
     }
 
     /// Takes the records of the operators between the last position that was read and `read_to`.
@@ -109,7 +109,7 @@
         }
         let before = self.all();
         for record in records {
-            self.kept_until.remove(&record.data_centre);
+            self.retained_until.remove(&record.data_centre);
             match record.is_evacuated {
                 true => self.data_centres.insert(record.data_centre.clone()),
                 false => self.data_centres.remove(&record.data_centre),
@@ -123,59 +123,59 @@
     pub fn announce(&self, now: Time) -> AnnouncedEvacuations {
         let left_ms =
             |until: &Time| u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
-        let kept = self.kept_until.iter();
+        let retained = self.retained_until.iter();
         AnnouncedEvacuations {
             as_of: self.as_of,
             data_centres: self.data_centres.clone(),
-            kept_ms: kept
+            kept_ms: retained
                 .map(|(data_centre, until)| (data_centre.clone(), left_ms(until)))
                 .collect(),
         }
     }
 
     /// Takes what the log or another host tells.
-    pub fn merge(&mut self, now: Time, told: &AnnouncedEvacuations) -> Vec<EvacuationChange> {
-        if told.as_of < self.as_of {
+    pub fn merge(&mut self, now: Time, announced: &AnnouncedEvacuations) -> Vec<EvacuationChange> {
+        if announced.as_of < self.as_of {
             return Vec::new();
         }
         let before = self.all();
-        if told.as_of > self.as_of {
-            self.begin(now, told);
+        if announced.as_of > self.as_of {
+            self.advance(now, announced);
         }
-        for (data_centre, left_ms) in &told.kept_ms {
-            let left = Duration::from_millis(u64::from(*left_ms)).min(KEPT_FOR);
-            self.keep(data_centre.clone(), now + left);
+        for (data_centre, left_ms) in &announced.kept_ms {
+            let left = Duration::from_millis(u64::from(*left_ms)).min(RETENTION);
+            self.retain(data_centre.clone(), now + left);
         }
         self.changes_since(&before)
     }
 
     /// Goes on from a later word. Where that is of a later history of the log, what it lacks is kept.
-    fn begin(&mut self, now: Time, told: &AnnouncedEvacuations) {
-        let is_return = self.is_known() && told.as_of.era > self.as_of.era;
-        let before = std::mem::replace(&mut self.data_centres, told.data_centres.clone());
+    fn advance(&mut self, now: Time, announced: &AnnouncedEvacuations) {
+        let is_return = self.is_known() && announced.as_of.era > self.as_of.era;
+        let before = std::mem::replace(&mut self.data_centres, announced.data_centres.clone());
         match is_return {
             true => before.into_iter().for_each(|data_centre| {
-                self.keep(data_centre, now + KEPT_FOR);
+                self.retain(data_centre, now + RETENTION);
             }),
-            false => self.kept_until.clear(),
+            false => self.retained_until.clear(),
         }
-        self.kept_until
-            .retain(|data_centre, _| !told.data_centres.contains(data_centre));
-        self.as_of = told.as_of;
+        self.retained_until
+            .retain(|data_centre, _| !announced.data_centres.contains(data_centre));
+        self.as_of = announced.as_of;
     }
 
-    fn keep(&mut self, data_centre: DataCentre, until: Time) {
+    fn retain(&mut self, data_centre: DataCentre, until: Time) {
         if self.data_centres.contains(&data_centre) {
             return;
         }
-        let kept = self.kept_until.entry(data_centre).or_insert(until);
-        *kept = (*kept).max(until);
+        let retained = self.retained_until.entry(data_centre).or_insert(until);
+        *retained = (*retained).max(until);
     }
 
     /// Drops what was kept and not written again.
     pub fn expire(&mut self, now: Time) -> Vec<EvacuationChange> {
         let before = self.all();
-        self.kept_until.retain(|_, until| *until > now);
+        self.retained_until.retain(|_, until| *until > now);
         self.changes_since(&before)
     }
 
--- a/src/gateway/evacuations/tests.rs
+++ b/src/gateway/evacuations/tests.rs
@@ -2,7 +2,7 @@
 
 use super::EvacuationRecord;
 use super::Evacuations;
-use super::KEPT_FOR;
+use super::RETENTION;
 use crate::clock::Time;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_known_is_not_the_same_as_nothing_evacuated() {
+fn unknown_differs_from_nothing_evacuated() {
     let unknown = Evacuations::default();
 
     assert!(!unknown.is_known());
@@ -40,60 +40,60 @@
 }
 
 #[test]
-fn an_earlier_word_changes_nothing_in_whatever_order_words_come() {
+fn earlier_positions_change_nothing_in_any_order() {
     let mut evacuations = evacuations(&["north"]);
     let earlier = evacuations.announce(Time::ZERO);
 
     let changes = evacuations.apply(&[record("north", false), record("south", true)], at(1, 12));
     let repeated = evacuations.apply(&[record("north", true)], at(1, 11));
-    let heard = evacuations.merge(Time::ZERO, &earlier);
+    let merged = evacuations.merge(Time::ZERO, &earlier);
 
-    assert_eq!((changes.len(), repeated.len(), heard.len()), (2, 0, 0));
+    assert_eq!((changes.len(), repeated.len(), merged.len()), (2, 0, 0));
     assert_eq!(evacuations.all(), set(&["south"]));
 }
 
 #[test]
-fn what_a_later_history_lacks_is_kept_until_it_had_time_to_be_written_again() {
+fn evacuations_missing_from_a_later_era_are_retained_for_a_while() {
     let mut evacuations = evacuations(&["north"]);
 
     evacuations.replace(Time::ZERO, set(&[]), at(2, 4));
-    let soon = evacuations.expire(Time::ZERO + KEPT_FOR / 2);
-    let late = evacuations.expire(Time::ZERO + KEPT_FOR);
+    let soon = evacuations.expire(Time::ZERO + RETENTION / 2);
+    let late = evacuations.expire(Time::ZERO + RETENTION);
 
     assert_eq!((soon.len(), late.len()), (0, 1));
     assert!(evacuations.all().is_empty());
 }
 
 #[test]
-fn a_record_of_the_later_history_ends_what_was_kept_also_for_those_who_only_hear_of_it() {
+fn a_record_of_the_later_era_ends_retention_for_peers_too() {
     let mut reader = evacuations(&["north"]);
-    let mut listener = evacuations(&["north"]);
+    let mut peer = evacuations(&["north"]);
     reader.replace(Time::ZERO, set(&[]), at(2, 4));
-    listener.merge(Time::ZERO, &reader.announce(Time::ZERO));
-    let before = listener.all();
+    peer.merge(Time::ZERO, &reader.announce(Time::ZERO));
+    let before = peer.all();
 
     reader.apply(&[record("north", false)], at(2, 5));
-    listener.merge(Time::ZERO, &reader.announce(Time::ZERO));
+    peer.merge(Time::ZERO, &reader.announce(Time::ZERO));
 
     assert_eq!(before, set(&["north"]));
-    assert!(listener.all().is_empty());
+    assert!(peer.all().is_empty());
 }
 
 #[test]
-fn a_host_that_joins_after_the_return_learns_what_others_keep_and_no_one_prolongs_it() {
+fn a_joining_host_learns_retained_evacuations_without_extending_them() {
     let mut known = evacuations(&["north"]);
     let mut joined = Evacuations::default();
     known.replace(Time::ZERO, set(&[]), at(2, 4));
     joined.replace(Time::ZERO, set(&[]), at(2, 4));
 
-    let halfway = Time::ZERO + KEPT_FOR / 2;
+    let halfway = Time::ZERO + RETENTION / 2;
     joined.merge(halfway, &known.announce(halfway));
     known.merge(halfway, &joined.announce(halfway));
-    let kept = joined.all();
-    let late = Time::ZERO + KEPT_FOR;
+    let retained = joined.all();
+    let late = Time::ZERO + RETENTION;
     known.expire(late);
     joined.expire(late);
 
-    assert_eq!(kept, set(&["north"]));
+    assert_eq!(retained, set(&["north"]));
     assert!(known.all().is_empty() && joined.all().is_empty());
 }
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -28,24 +28,24 @@
 use crate::gateway::ticks::tick;
 
 /// How often it is looked whether there is something to write or to read.
-const CHECK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// A host that has just started has heard from others by then, if there are any.
-const START_WAIT: Duration = Duration::from_millis(600);
+const START_DELAY: Duration = Duration::from_millis(600);
 /// Between two readings while other data centres are silent, and before a failed one is tried again: with
 /// the time of a call below the shortest bound on what hosts must know, 3 s.
 const READ_INTERVAL_MIN: Duration = Duration::from_secs(2);
 /// The same of a silence that lasts, as a part of it: a data centre that is gone for good costs few calls.
-const READ_INTERVAL_SHARE: u32 = 20;
+const READ_INTERVAL_DIVISOR: u32 = 20;
 /// A data centre that is silent for so long may be cut off; its hosts send each 1.8 s.
-const SILENCE: Duration = Duration::from_secs(4);
+const SILENCE_MIN: Duration = Duration::from_secs(4);
 /// Crashes from which on a content is written.
-const WRITTEN_FROM: usize = 2;
+const WRITE_CRASHES_MIN: usize = 2;
 /// Contents that are written in one round, so that a burst leaves the log its writes for others.
-const WRITTEN_AT_ONCE: usize = 4;
+const WRITES_PER_ROUND_MAX: usize = 4;
 /// A record so old holds nothing back any more: a request is held back for 6 hours at most.
-const KEPT: Duration = Duration::from_secs(24 * 60 * 60);
+const RECORD_TTL: Duration = Duration::from_secs(24 * 60 * 60);
 /// Records that are removed in one reading.
-const REMOVED_AT_ONCE: usize = 4;
+const REMOVALS_PER_READ_MAX: usize = 4;
 
 /// What a record of the topic holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
         }
     }
 
-    fn told(&self, now_ms: u64) -> Result<AnnouncedSuspect> {
+    fn to_announced(&self, now_ms: u64) -> Result<AnnouncedSuspect> {
         // What seems to come from the future is of now: clocks of hosts differ.
         let ago = |at: u64| u32::try_from(now_ms.saturating_sub(at)).unwrap_or(u32::MAX);
         let crashes = self.crashes.iter();
@@ -83,10 +83,10 @@
         })
     }
 
-    fn is_old(&self, now_ms: u64) -> bool {
+    fn is_expired(&self, now_ms: u64) -> bool {
         let times = self.crashes.iter().map(|(_, at)| *at);
         let last = times.chain(self.answered_ms).max().unwrap_or(0);
-        u128::from(now_ms.saturating_sub(last)) > KEPT.as_millis()
+        u128::from(now_ms.saturating_sub(last)) > RECORD_TTL.as_millis()
     }
 }
 
@@ -94,36 +94,36 @@
 pub async fn run(shared: Shared) {
     let mut client = OwnClient::new(shared.settings().log_address);
     let mut unwritten: Vec<Fingerprint> = Vec::new();
-    let mut reading = Reading::default();
-    tokio::time::sleep(START_WAIT).await;
+    let mut schedule = ReadSchedule::default();
+    tokio::time::sleep(START_DELAY).await;
     loop {
-        write_news(&shared, &mut client, &mut unwritten).await;
-        if is_reader(&shared) && reading.is_due(Instant::now(), silence(&shared)) {
-            let is_read = read_all(&shared, &mut client).await;
-            reading.tried(Instant::now(), is_read);
+        write_pending(&shared, &mut client, &mut unwritten).await;
+        if is_reader(&shared) && schedule.is_due(Instant::now(), longest_silence(&shared)) {
+            let is_read = read_topic(&shared, &mut client).await;
+            schedule.record_attempt(Instant::now(), is_read);
         }
-        tick(CHECK).await;
+        tick(CHECK_INTERVAL).await;
     }
 }
 
 /// When the topic is read.
 #[derive(Debug, Default)]
-struct Reading {
+struct ReadSchedule {
     has_read: bool,
-    tried_at: Option<Instant>,
+    attempted_at: Option<Instant>,
 }
 
-impl Reading {
+impl ReadSchedule {
     /// `silence` is that of another data centre that may be cut off.
     fn is_due(&self, now: Instant, silence: Option<Duration>) -> bool {
         let is_wanted = silence.is_some() || !self.has_read;
-        let interval = READ_INTERVAL_MIN.max(silence.unwrap_or_default() / READ_INTERVAL_SHARE);
+        let interval = READ_INTERVAL_MIN.max(silence.unwrap_or_default() / READ_INTERVAL_DIVISOR);
         let since = |at| now.saturating_duration_since(at);
-        is_wanted && self.tried_at.is_none_or(|at| since(at) >= interval)
+        is_wanted && self.attempted_at.is_none_or(|at| since(at) >= interval)
     }
 
-    fn tried(&mut self, now: Instant, is_read: bool) {
-        self.tried_at = Some(now);
+    fn record_attempt(&mut self, now: Instant, is_read: bool) {
+        self.attempted_at = Some(now);
         self.has_read |= is_read;
     }
 }
@@ -134,17 +134,17 @@
 }
 
 /// For how long a data centre has been silent, whose hosts may know of crashes that this one can't hear of.
-fn silence(shared: &Shared) -> Option<Duration> {
+fn longest_silence(shared: &Shared) -> Option<Duration> {
     let now = shared.now();
     let silence = shared.peers(|peers| peers.longest_silence_outside(now));
-    silence.filter(|silence| *silence > SILENCE)
+    silence.filter(|silence| *silence > SILENCE_MIN)
 }
 
 /// Writes what this host saw of late; what can't be written is tried again.
-async fn write_news(shared: &Shared, client: &mut OwnClient, unwritten: &mut Vec<Fingerprint>) {
-    let crashes_min = match silence(shared) {
+async fn write_pending(shared: &Shared, client: &mut OwnClient, unwritten: &mut Vec<Fingerprint>) {
+    let crashes_min = match longest_silence(shared) {
         Some(_) => 1,
-        None => WRITTEN_FROM,
+        None => WRITE_CRASHES_MIN,
     };
     let now = shared.now();
     for fingerprint in shared.suspects(|suspects| suspects.take_unwritten(crashes_min)) {
@@ -152,7 +152,7 @@
             unwritten.push(fingerprint);
         }
     }
-    for fingerprint in unwritten.split_off(unwritten.len().saturating_sub(WRITTEN_AT_ONCE)) {
+    for fingerprint in unwritten.split_off(unwritten.len().saturating_sub(WRITES_PER_ROUND_MAX)) {
         let Some(suspect) = shared.suspects(|suspects| suspects.snapshot(now, fingerprint)) else {
             continue;
         };
@@ -171,7 +171,7 @@
 }
 
 /// Takes what other hosts have written, and removes what is old; whether the log answered.
-async fn read_all(shared: &Shared, client: &mut OwnClient) -> bool {
+async fn read_topic(shared: &Shared, client: &mut OwnClient) -> bool {
     let records = match newest(shared, client, Topic::Suspects, CALL_TIMEOUT).await {
         Ok((records, _)) => records,
         Err(error) => {
@@ -180,14 +180,14 @@
         }
     };
     let now_ms = wall_ms();
-    let mut told = Vec::new();
-    let mut old = Vec::new();
+    let mut announced = Vec::new();
+    let mut expired = Vec::new();
     let mut unreadable = 0_usize;
     for record in &records {
-        match stored(record) {
-            Ok(Some(suspect)) if suspect.is_old(now_ms) => old.push(&record.key),
-            Ok(Some(suspect)) => match suspect.told(now_ms) {
-                Ok(suspect) => told.push(suspect),
+        match decode(record) {
+            Ok(Some(suspect)) if suspect.is_expired(now_ms) => expired.push(&record.key),
+            Ok(Some(suspect)) => match suspect.to_announced(now_ms) {
+                Ok(suspect) => announced.push(suspect),
                 Err(_) => unreadable += 1,
             },
             Ok(None) => {}
@@ -200,8 +200,8 @@
             .with("records", unreadable)
             .write();
     }
-    shared.hear_suspects("log", &told);
-    for key in old.into_iter().take(REMOVED_AT_ONCE) {
+    shared.hear_suspects("log", &announced);
+    for key in expired.into_iter().take(REMOVALS_PER_READ_MAX) {
         if let Err(error) = append(shared, client, Topic::Suspects, key, &[]).await {
             log::debug!("removing a suspect: {error}");
         }
@@ -209,7 +209,7 @@
     true
 }
 
-fn stored(record: &Record) -> Result<Option<StoredSuspect>> {
+fn decode(record: &Record) -> Result<Option<StoredSuspect>> {
     let value = record.value.as_deref();
     Ok(value.map(serde_json::from_slice).transpose()?)
 }
--- a/src/gateway/suspectlog/tests.rs
+++ b/src/gateway/suspectlog/tests.rs
@@ -3,12 +3,12 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::KEPT;
 use super::READ_INTERVAL_MIN;
-use super::Reading;
-use super::SILENCE;
+use super::RECORD_TTL;
+use super::ReadSchedule;
+use super::SILENCE_MIN;
 use super::StoredSuspect;
-use super::stored;
+use super::decode;
 use crate::fingerprint::Content;
 use crate::fingerprint::Fingerprint;
 use crate::gateway::instance::InstanceId;
@@ -46,66 +46,66 @@
 }
 
 #[test]
-fn what_is_written_is_read_with_the_time_that_has_passed() {
+fn crash_ages_include_the_time_since_the_record_was_written() {
     let written = StoredSuspect::new(&suspect(), NOW_MS);
     let value = serde_json::to_vec(&written).unwrap();
 
-    let read = stored(&record(&value)).unwrap().unwrap();
-    let told = read.told(NOW_MS + 10_000).unwrap();
+    let read = decode(&record(&value)).unwrap().unwrap();
+    let announced = read.to_announced(NOW_MS + 10_000).unwrap();
 
-    assert_eq!(told.fingerprint, suspect().fingerprint);
-    assert_eq!(told.crashes, [(key(0), 10_900), (key(1), 10_050)]);
-    assert_eq!(told.answered_ms_ago, Some(80_000));
+    assert_eq!(announced.fingerprint, suspect().fingerprint);
+    assert_eq!(announced.crashes, [(key(0), 10_900), (key(1), 10_050)]);
+    assert_eq!(announced.answered_ms_ago, Some(80_000));
 }
 
 #[test]
-fn a_clock_that_is_behind_takes_crashes_for_new() {
+fn crashes_dated_in_the_future_count_as_new() {
     let written = StoredSuspect::new(&suspect(), NOW_MS);
 
-    let told = written.told(NOW_MS - 60_000).unwrap();
+    let announced = written.to_announced(NOW_MS - 60_000).unwrap();
 
-    assert_eq!(told.crashes, [(key(0), 0), (key(1), 0)]);
+    assert_eq!(announced.crashes, [(key(0), 0), (key(1), 0)]);
 }
 
 #[test]
-fn records_that_hold_no_suspect_are_told_apart() {
+fn unreadable_and_removed_records_are_told_apart() {
     let unreadable = [&b""[..], b"{}", b"host-1", b"[1, 2", &[0xff, 0xfe]];
     let mut wrong = StoredSuspect::new(&suspect(), NOW_MS);
     wrong.fingerprint = "xyz".to_owned();
 
     for value in unreadable {
-        assert!(stored(&record(value)).is_err(), "{value:?}");
+        assert!(decode(&record(value)).is_err(), "{value:?}");
     }
     let removed = Record {
         value: None,
         ..record(b"")
     };
-    assert_eq!(stored(&removed).unwrap(), None);
-    assert!(wrong.told(NOW_MS).is_err());
+    assert_eq!(decode(&removed).unwrap(), None);
+    assert!(wrong.to_announced(NOW_MS).is_err());
 }
 
 #[test]
-fn a_record_is_old_a_day_after_the_last_thing_that_it_tells() {
+fn a_record_expires_a_day_after_its_last_change() {
     let written = StoredSuspect::new(&suspect(), NOW_MS);
-    let day_ms = KEPT.as_millis() as u64;
+    let day_ms = RECORD_TTL.as_millis() as u64;
 
-    assert!(!written.is_old(NOW_MS + day_ms - 51));
-    assert!(written.is_old(NOW_MS + day_ms));
+    assert!(!written.is_expired(NOW_MS + day_ms - 51));
+    assert!(written.is_expired(NOW_MS + day_ms));
 }
 
 #[test]
 fn the_topic_is_read_once_and_again_while_a_data_centre_is_silent() {
-    let mut reading = Reading::default();
+    let mut schedule = ReadSchedule::default();
     let start = Instant::now();
-    let is_due_at_start = reading.is_due(start, None);
-    reading.tried(start, false);
-    let is_tried_again = reading.is_due(start + READ_INTERVAL_MIN, None);
-    reading.tried(start, true);
+    let is_due_at_start = schedule.is_due(start, None);
+    schedule.record_attempt(start, false);
+    let is_due_after_failure = schedule.is_due(start + READ_INTERVAL_MIN, None);
+    schedule.record_attempt(start, true);
     let later = start + READ_INTERVAL_MIN;
 
-    assert!(is_due_at_start && is_tried_again);
-    assert!(!reading.is_due(later, None));
-    assert!(reading.is_due(later, Some(SILENCE)));
-    assert!(!reading.is_due(start + READ_INTERVAL_MIN / 2, Some(SILENCE)));
-    assert!(!reading.is_due(later, Some(Duration::from_secs(3_600))));
+    assert!(is_due_at_start && is_due_after_failure);
+    assert!(!schedule.is_due(later, None));
+    assert!(schedule.is_due(later, Some(SILENCE_MIN)));
+    assert!(!schedule.is_due(start + READ_INTERVAL_MIN / 2, Some(SILENCE_MIN)));
+    assert!(!schedule.is_due(later, Some(Duration::from_secs(3_600))));
 }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -14,45 +14,45 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use self::suspect::CRASHES_KEPT;
+use self::announce::OWN_ANNOUNCEMENTS;
+use self::announce::RELAYED_ANNOUNCEMENTS;
+use self::suspect::CRASHES_KEPT_MAX;
 use self::suspect::Crash;
-use self::suspect::REMEMBERED;
+use self::suspect::EVIDENCE_TTL;
 use self::suspect::Suspect;
-use self::suspect::TRIAL_LASTS;
-use self::telling::HEARD_TELLINGS;
-use self::telling::OWN_TELLINGS;
+use self::suspect::TRIAL_TIMEOUT;
 use crate::clock::Time;
 use crate::fingerprint::Fingerprint;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
 
+mod announce;
 mod suspect;
-mod telling;
 
+pub use self::announce::AnnouncedSuspect;
 pub use self::suspect::Assessment;
 pub use self::suspect::CRASHES_MAX;
 pub use self::suspect::Verdict;
-pub use self::telling::AnnouncedSuspect;
 
 /// An upstream that is listed so long after its connection broke has not crashed: entries lapse after three
 /// heartbeats, 3.6 s on the users' deployments, and are read within a second. Without this a request whose
 /// connections living upstreams had reset three times was refused for good in 4 plays of 6 in which nothing else
 /// was answered.
-const LISTED_WITHOUT: Duration = Duration::from_secs(6);
+const STALE_LISTING_MAX: Duration = Duration::from_secs(6);
 /// Requests that are remembered, some 200 bytes each; those with the fewest and oldest crashes go first.
-const REQUESTS_MAX: usize = 4_096;
+const SUSPECTS_MAX: usize = 4_096;
 /// The suspects that a host knows.
 #[derive(Debug, Default)]
 pub struct Suspects {
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// When upstreams that are recorded as crashed were last known to be alive.
-    alive: HashMap<InstanceKey, Time>,
+    alive_at: HashMap<InstanceKey, Time>,
     /// The last ones that were told in turn.
-    told_repeated: Option<Fingerprint>,
-    told_single: Option<Fingerprint>,
-    told_in_turn_at: Option<Time>,
+    last_repeated: Option<Fingerprint>,
+    last_single: Option<Fingerprint>,
+    rotated_at: Option<Time>,
     /// Since when this host has known without a gap which upstreams are listed.
-    view_fresh_since: Option<Time>,
+    listing_fresh_since: Option<Time>,
 }
 
 /// Which upstreams a host knows to be listed and reachable.
@@ -76,12 +76,12 @@
             upstream: upstream.key(),
             at: now,
         };
-        if !self.add(fingerprint, crash) {
+        if !self.add_crash(fingerprint, crash) {
             return None;
         }
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.witnessed_at = Some(now);
-            suspect.tellings_left = OWN_TELLINGS;
+            suspect.observed_at = Some(now);
+            suspect.announcements_left = OWN_ANNOUNCEMENTS;
             suspect.is_unwritten = true;
         }
         self.assess(now, fingerprint)
@@ -90,7 +90,7 @@
     /// An upstream answered such a request in whole. Its standing before, if it was a suspect.
     pub fn record_answer(&mut self, now: Time, fingerprint: Fingerprint) -> Option<Assessment> {
         let before = self.assess(now, fingerprint);
-        self.clear(fingerprint, now);
+        self.clear_before(fingerprint, now);
         if before.is_some_and(|before| before.crashes > 1)
             && let Some(suspect) = self.suspects.get_mut(&fingerprint)
         {
@@ -101,35 +101,35 @@
 
     /// `upstream` answered a request that was sent at `sent_at`: it had not crashed before.
     pub fn record_alive(&mut self, sent_at: Time, upstream: &InstanceId) {
-        if self.alive.is_empty() {
+        if self.alive_at.is_empty() {
             return;
         }
         let key = upstream.key();
-        if self.alive.contains_key(&key) {
+        if self.alive_at.contains_key(&key) {
             self.retract(key, sent_at);
         }
     }
 
     /// Whether nothing is remembered, of requests or of upstreams.
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty() && self.alive.is_empty()
+        self.suspects.is_empty() && self.alive_at.is_empty()
     }
 
     /// Takes back the crashes of what is listed though it would have lapsed if it had crashed.
     pub fn check_listed(&mut self, now: Time, listed: &ListedUpstreams) {
         let ListedUpstreams::Fresh(listed) = listed else {
-            self.view_fresh_since = None;
+            self.listing_fresh_since = None;
             return;
         };
-        let fresh_since = *self.view_fresh_since.get_or_insert(now);
-        if now.since(fresh_since) < LISTED_WITHOUT {
+        let fresh_since = *self.listing_fresh_since.get_or_insert(now);
+        if now.since(fresh_since) < STALE_LISTING_MAX {
             return;
         }
         let lapsed_before = Time::from_us(
             now.as_us()
-                .saturating_sub(LISTED_WITHOUT.as_micros() as u64),
+                .saturating_sub(STALE_LISTING_MAX.as_micros() as u64),
         );
-        let alive: Vec<InstanceKey> = self.alive.keys().copied().collect();
+        let alive: Vec<InstanceKey> = self.alive_at.keys().copied().collect();
         for upstream in alive
             .into_iter()
             .filter(|upstream| listed.contains(upstream))
@@ -148,10 +148,10 @@
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
-        let last = suspect.tried_at;
-        let is_free = last.is_none_or(|last| now.since(last) >= TRIAL_LASTS);
+        let last = suspect.trial_at;
+        let is_free = last.is_none_or(|last| now.since(last) >= TRIAL_TIMEOUT);
         if is_free {
-            suspect.tried_at = Some(now);
+            suspect.trial_at = Some(now);
         }
         is_free
     }
@@ -160,22 +160,22 @@
     pub fn merge(
         &mut self,
         now: Time,
-        told: &[AnnouncedSuspect],
+        announced: &[AnnouncedSuspect],
     ) -> Vec<(Fingerprint, Assessment)> {
         let mut changed = Vec::new();
-        for suspect in told {
+        for suspect in announced {
             let fingerprint = suspect.fingerprint;
-            let answered_at = suspect.answered_ms_ago.map(|ms| ago(now, ms));
-            let mut is_news = answered_at.is_some_and(|at| self.clear(fingerprint, at));
-            for (upstream, ms) in suspect.crashes.iter().take(CRASHES_KEPT) {
+            let answered_at = suspect.answered_ms_ago.map(|ms| time_before(now, ms));
+            let mut is_news = answered_at.is_some_and(|at| self.clear_before(fingerprint, at));
+            for (upstream, ms) in suspect.crashes.iter().take(CRASHES_KEPT_MAX) {
                 let crash = Crash {
                     upstream: *upstream,
-                    at: ago(now, *ms),
+                    at: time_before(now, *ms),
                 };
-                is_news |= self.add(fingerprint, crash);
+                is_news |= self.add_crash(fingerprint, crash);
             }
             if is_news {
-                self.tell_on(fingerprint);
+                self.schedule_relay(fingerprint);
                 let assessment = self.assess(now, fingerprint);
                 changed.extend(assessment.map(|assessment| (fingerprint, assessment)));
             }
@@ -200,18 +200,20 @@
     /// What was written to the log may be lost.
     pub fn mark_unwritten(&mut self) {
         for suspect in self.suspects.values_mut() {
-            suspect.is_unwritten |= suspect.witnessed_at.is_some();
+            suspect.is_unwritten |= suspect.observed_at.is_some();
         }
     }
 
     /// Forgets what is too old to matter.
     pub fn expire(&mut self, now: Time) {
         self.suspects
-            .retain(|_, suspect| now.since(suspect.last_change()) < suspect.remembered_for());
+            .retain(|_, suspect| now.since(suspect.last_change()) < suspect.ttl());
         let suspects = &self.suspects;
-        self.alive.retain(|upstream, alive_at| {
-            now.since(*alive_at) < REMEMBERED
-                || suspects.values().any(|suspect| suspect.names(*upstream))
+        self.alive_at.retain(|upstream, alive_at| {
+            now.since(*alive_at) < EVIDENCE_TTL
+                || suspects
+                    .values()
+                    .any(|suspect| suspect.has_crash_of(*upstream))
         });
     }
 
@@ -227,42 +229,42 @@
 
     /// Takes back that `upstream` crashed before `alive_at`.
     fn retract(&mut self, upstream: InstanceKey, alive_at: Time) {
-        let known = self.alive.entry(upstream).or_insert(alive_at);
+        let known = self.alive_at.entry(upstream).or_insert(alive_at);
         *known = (*known).max(alive_at);
         for suspect in self.suspects.values_mut() {
             let crashes = &mut suspect.crashes;
             crashes.retain(|crash| crash.upstream != upstream || crash.at >= alive_at);
         }
-        self.suspects.retain(|_, suspect| !suspect.is_void());
+        self.suspects.retain(|_, suspect| !suspect.is_empty());
     }
 
     /// Adds a crash to what is known; true if it is news.
-    fn add(&mut self, fingerprint: Fingerprint, crash: Crash) -> bool {
-        let alive_at = *self.alive.entry(crash.upstream).or_insert(Time::ZERO);
+    fn add_crash(&mut self, fingerprint: Fingerprint, crash: Crash) -> bool {
+        let alive_at = *self.alive_at.entry(crash.upstream).or_insert(Time::ZERO);
         if alive_at > crash.at {
             return false;
         }
         if !self.suspects.contains_key(&fingerprint) {
-            self.make_room();
+            self.evict_if_full();
         }
         let suspect = self.suspects.entry(fingerprint).or_default();
         if suspect.answered_at.is_some_and(|at| at > crash.at) {
             return false;
         }
-        suspect.note(crash)
+        suspect.add_crash(crash)
     }
 
     /// Tells on what was heard, if it matters to whoever is sent the next repeat.
-    fn tell_on(&mut self, fingerprint: Fingerprint) {
+    fn schedule_relay(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint)
             && suspect.is_repeated()
         {
-            suspect.tellings_left = suspect.tellings_left.max(HEARD_TELLINGS);
+            suspect.announcements_left = suspect.announcements_left.max(RELAYED_ANNOUNCEMENTS);
         }
     }
 
     /// Takes back all crashes before an answer; true if there were any.
-    fn clear(&mut self, fingerprint: Fingerprint, answered_at: Time) -> bool {
+    fn clear_before(&mut self, fingerprint: Fingerprint, answered_at: Time) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
         };
@@ -271,13 +273,13 @@
         suspect.answered_at = suspect.answered_at.max(Some(answered_at));
         let is_news = suspect.crashes.len() < known;
         if is_news {
-            suspect.tellings_left = HEARD_TELLINGS;
+            suspect.announcements_left = RELAYED_ANNOUNCEMENTS;
         }
         is_news
     }
 
-    fn make_room(&mut self) {
-        if self.suspects.len() < REQUESTS_MAX {
+    fn evict_if_full(&mut self) {
+        if self.suspects.len() < SUSPECTS_MAX {
             return;
         }
         let least = self
@@ -290,7 +292,7 @@
     }
 }
 
-fn ago(now: Time, ms: u32) -> Time {
+fn time_before(now: Time, ms: u32) -> Time {
     Time::from_us(now.as_us().saturating_sub(u64::from(ms) * 1_000))
 }
 
--- a/src/gateway/suspects/telling.rs
+++ b/src/gateway/suspects/announce.rs
@@ -13,18 +13,18 @@
 use crate::gateway::instance::InstanceKey;
 
 /// So many datagrams tell of what a host saw itself: one in ten may be lost.
-pub(super) const OWN_TELLINGS: u8 = 5;
+pub(super) const OWN_ANNOUNCEMENTS: u8 = 5;
 /// So many tell of a repeated crash that it heard of, beside those of the host that saw it.
-pub(super) const HEARD_TELLINGS: u8 = 1;
+pub(super) const RELAYED_ANNOUNCEMENTS: u8 = 1;
 /// Such news in one datagram, at most 100 bytes each.
-pub(super) const NEWS_TOLD: usize = 6;
+pub(super) const CHANGES_MAX: usize = 6;
 /// Between two datagrams that tell of older suspects in turn, for hosts that joined or were cut off: hosts
 /// with much to do send a datagram each 10 ms.
-const TURN_INTERVAL: Duration = Duration::from_millis(250);
+const ROTATION_INTERVAL: Duration = Duration::from_millis(250);
 /// Older suspects that such a datagram tells of: requests under which several upstreams crashed,
-const REPEATED_TOLD: usize = 3;
+const ROTATED_REPEATED_MAX: usize = 3;
 /// and those with a single crash.
-const SINGLE_TOLD: usize = 1;
+const ROTATED_SINGLE_MAX: usize = 1;
 
 /// What a host tells of one content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,63 +40,66 @@
 impl Suspects {
     /// What this host tells with its next datagram: its news, and from time to time older suspects in turn.
     pub fn announce(&mut self, now: Time) -> Vec<AnnouncedSuspect> {
-        let mut told: Vec<Fingerprint> = Vec::new();
+        let mut announced: Vec<Fingerprint> = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
-            if suspect.tellings_left > 0 && told.len() < NEWS_TOLD {
-                suspect.tellings_left -= 1;
-                told.push(*fingerprint);
+            if suspect.announcements_left > 0 && announced.len() < CHANGES_MAX {
+                suspect.announcements_left -= 1;
+                announced.push(*fingerprint);
             }
         }
-        for fingerprint in self.next_in_turn(now) {
-            if !told.contains(&fingerprint) {
-                told.push(fingerprint);
+        for fingerprint in self.next_rotation(now) {
+            if !announced.contains(&fingerprint) {
+                announced.push(fingerprint);
             }
         }
-        let told = told.into_iter();
-        told.filter_map(|fingerprint| self.snapshot(now, fingerprint))
+        let announced = announced.into_iter();
+        announced
+            .filter_map(|fingerprint| self.snapshot(now, fingerprint))
             .collect()
     }
 
     /// The suspects under which this host saw an upstream crash after `since`.
     pub fn observed_since(&self, now: Time, since: Time) -> Vec<AnnouncedSuspect> {
         let suspects = self.suspects.iter();
-        let witnessed = suspects
-            .filter(|(_, suspect)| suspect.witnessed_at.is_some_and(|at| at > since))
-            .take(NEWS_TOLD);
-        witnessed
+        let observed = suspects
+            .filter(|(_, suspect)| suspect.observed_at.is_some_and(|at| at > since))
+            .take(CHANGES_MAX);
+        observed
             .filter_map(|(fingerprint, _)| self.snapshot(now, *fingerprint))
             .collect()
     }
 
-    fn next_in_turn(&mut self, now: Time) -> Vec<Fingerprint> {
-        let last = self.told_in_turn_at;
-        if last.is_some_and(|last| now.since(last) < TURN_INTERVAL) {
+    fn next_rotation(&mut self, now: Time) -> Vec<Fingerprint> {
+        let last = self.rotated_at;
+        if last.is_some_and(|last| now.since(last) < ROTATION_INTERVAL) {
             return Vec::new();
         }
-        self.told_in_turn_at = Some(now);
-        let mut next = self.in_turn(self.told_repeated, REPEATED_TOLD, Suspect::is_repeated);
-        let single = self.in_turn(self.told_single, SINGLE_TOLD, Suspect::is_single);
-        self.told_repeated = next.last().copied().or(self.told_repeated);
-        self.told_single = single.last().copied().or(self.told_single);
+        self.rotated_at = Some(now);
+        let mut next = self.next_matching(
+            self.last_repeated,
+            ROTATED_REPEATED_MAX,
+            Suspect::is_repeated,
+        );
+        let single = self.next_matching(self.last_single, ROTATED_SINGLE_MAX, Suspect::is_single);
+        self.last_repeated = next.last().copied().or(self.last_repeated);
+        self.last_single = single.last().copied().or(self.last_single);
         next.extend(single);
         next
     }
 
-    /// The next `count` suspects behind `last` that `is_meant` says, in a circle.
-    fn in_turn(
+    /// The next `count` suspects behind `last` that `matches` says, in a circle.
+    fn next_matching(
         &self,
         last: Option<Fingerprint>,
         count: usize,
-        is_meant: impl Fn(&Suspect) -> bool,
+        matches: impl Fn(&Suspect) -> bool,
     ) -> Vec<Fingerprint> {
         let from = last.map_or(Bound::Unbounded, Bound::Excluded);
         let behind = self.suspects.range((from, Bound::Unbounded));
         let to = last.map_or(Bound::Excluded(Fingerprint::MIN), Bound::Included);
         let before = self.suspects.range((Bound::Unbounded, to));
-        let meant = behind
-            .chain(before)
-            .filter(|(_, suspect)| is_meant(suspect));
-        meant
+        let matching = behind.chain(before).filter(|(_, suspect)| matches(suspect));
+        matching
             .take(count)
             .map(|(fingerprint, _)| *fingerprint)
             .collect()
--- a/src/gateway/suspects/suspect.rs
+++ b/src/gateway/suspects/suspect.rs
@@ -16,11 +16,11 @@
 /// and no longer than this, so that a request whose cause was mended comes through.
 pub(super) const HELD_BACK_MAX: Duration = Duration::from_secs(6 * 60 * 60);
 /// A trial that neither crashed its upstream nor was answered in this time was none.
-pub(super) const TRIAL_LASTS: Duration = Duration::from_secs(30);
+pub(super) const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Evidence is forgotten after this time, if it holds nothing back.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(600);
+pub(super) const EVIDENCE_TTL: Duration = Duration::from_secs(600);
 /// Crashes that are kept of one request; the time for which it is held back grows no further.
-pub(super) const CRASHES_KEPT: usize = 8;
+pub(super) const CRASHES_KEPT_MAX: usize = 8;
 
 /// An upstream that ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,11 +35,11 @@
     pub(super) crashes: Vec<Crash>,
     pub(super) answered_at: Option<Time>,
     /// When this host last saw an upstream crash under it.
-    pub(super) witnessed_at: Option<Time>,
+    pub(super) observed_at: Option<Time>,
     /// Datagrams that will tell of its last change.
-    pub(super) tellings_left: u8,
+    pub(super) announcements_left: u8,
     /// When this host last let one through as a trial.
-    pub(super) tried_at: Option<Time>,
+    pub(super) trial_at: Option<Time>,
     /// Whether this host saw something that may have to be written to the platform's log.
     pub(super) is_unwritten: bool,
 }
@@ -68,7 +68,7 @@
     /// What is believed of its content; none if nothing is known against it.
     pub(super) fn assess(&self, now: Time) -> Option<Assessment> {
         let last = self.last_crash()?;
-        let left = self.held_back_for().saturating_sub(now.since(last));
+        let left = self.held_back_time().saturating_sub(now.since(last));
         let verdict = match self.crashes.len() {
             ..CRASHES_MAX => Verdict::Allowed,
             _ if left.is_zero() => Verdict::Trial,
@@ -81,7 +81,7 @@
     }
 
     /// Keeps the latest crashes. True if this is one that was not known.
-    pub(super) fn note(&mut self, crash: Crash) -> bool {
+    pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|known| known.upstream == crash.upstream) {
             // Who hears of it late, or has started meanwhile, takes it for younger than it is.
@@ -89,7 +89,7 @@
             return false;
         }
         self.crashes.push(crash);
-        if self.crashes.len() <= CRASHES_KEPT {
+        if self.crashes.len() <= CRASHES_KEPT_MAX {
             return true;
         }
         self.crashes.sort_by_key(|crash| crash.at);
@@ -106,7 +106,7 @@
     }
 
     /// For how long it is held back after its last crash.
-    fn held_back_for(&self) -> Duration {
+    fn held_back_time(&self) -> Duration {
         let Some(further) = self.crashes.len().checked_sub(CRASHES_MAX) else {
             return Duration::ZERO;
         };
@@ -116,8 +116,8 @@
     }
 
     /// Once it is let through again, it is remembered for as long as it was held back.
-    pub(super) fn remembered_for(&self) -> Duration {
-        REMEMBERED.max(self.held_back_for() * 2)
+    pub(super) fn ttl(&self) -> Duration {
+        EVIDENCE_TTL.max(self.held_back_time() * 2)
     }
 
     pub(super) fn is_repeated(&self) -> bool {
@@ -129,11 +129,11 @@
     }
 
     /// Whether nothing is left to be told of it.
-    pub(super) fn is_void(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.answered_at.is_none()
     }
 
-    pub(super) fn names(&self, upstream: InstanceKey) -> bool {
+    pub(super) fn has_crash_of(&self, upstream: InstanceKey) -> bool {
         self.crashes.iter().any(|crash| crash.upstream == upstream)
     }
 }
--- a/src/gateway/suspects/tests.rs
+++ b/src/gateway/suspects/tests.rs
@@ -3,17 +3,17 @@
 
 use super::AnnouncedSuspect;
 use super::CRASHES_MAX;
-use super::LISTED_WITHOUT;
 use super::ListedUpstreams;
-use super::REQUESTS_MAX;
+use super::STALE_LISTING_MAX;
+use super::SUSPECTS_MAX;
 use super::Suspects;
 use super::Verdict;
+use super::announce::CHANGES_MAX;
+use super::announce::OWN_ANNOUNCEMENTS;
+use super::suspect::EVIDENCE_TTL;
 use super::suspect::HELD_BACK_MAX;
 use super::suspect::HELD_BACK_MIN;
-use super::suspect::REMEMBERED;
-use super::suspect::TRIAL_LASTS;
-use super::telling::NEWS_TOLD;
-use super::telling::OWN_TELLINGS;
+use super::suspect::TRIAL_TIMEOUT;
 use crate::clock::Time;
 use crate::fingerprint::Content;
 use crate::fingerprint::Fingerprint;
@@ -43,7 +43,7 @@
 }
 
 /// A host that saw `crashes` upstreams crash under content 0, one a second.
-fn witness(crashes: usize) -> Suspects {
+fn with_crashes(crashes: usize) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..crashes {
         suspects.record_crash(at(1_000 * number as u64), content(0), &upstream(number));
@@ -58,17 +58,17 @@
 
 #[test]
 fn a_content_is_held_back_after_three_crashes_and_others_are_not() {
-    let suspects = witness(CRASHES_MAX);
+    let suspects = with_crashes(CRASHES_MAX);
 
     assert!(is_held_back(&suspects, at(2_000), 0));
     assert!(!is_held_back(&suspects, at(2_000), 1));
-    assert!(!is_held_back(&witness(CRASHES_MAX - 1), at(2_000), 0));
+    assert!(!is_held_back(&with_crashes(CRASHES_MAX - 1), at(2_000), 0));
 }
 
 #[test]
-fn one_upstream_crashes_once_whoever_saw_it() {
-    let mut suspects = witness(1);
-    let mut other = witness(1);
+fn a_crash_counts_once_whichever_host_saw_it() {
+    let mut suspects = with_crashes(1);
+    let mut other = with_crashes(1);
     for ms in 0..5 {
         suspects.record_crash(at(ms), content(0), &upstream(0));
         suspects.merge(at(ms), &other.announce(at(ms)));
@@ -81,71 +81,71 @@
 
 #[test]
 fn hosts_that_saw_one_crash_each_hold_back_together_in_any_order() {
-    let told: Vec<AnnouncedSuspect> = (0..CRASHES_MAX)
+    let announced: Vec<AnnouncedSuspect> = (0..CRASHES_MAX)
         .flat_map(|number| {
-            let mut seer = Suspects::default();
-            seer.record_crash(at(0), content(0), &upstream(number));
-            seer.announce(at(1))
+            let mut observer = Suspects::default();
+            observer.record_crash(at(0), content(0), &upstream(number));
+            observer.announce(at(1))
         })
         .collect();
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0]] {
         let mut suspects = Suspects::default();
         for index in order {
-            suspects.merge(at(2), &told[index..=index]);
+            suspects.merge(at(2), &announced[index..=index]);
         }
         assert!(is_held_back(&suspects, at(3), 0), "{order:?}");
     }
 }
 
 #[test]
-fn each_further_crash_lengthens_the_time_up_to_a_bound() {
-    let mut suspects = witness(CRASHES_MAX);
+fn each_further_crash_lengthens_the_hold_up_to_a_bound() {
+    let mut suspects = with_crashes(CRASHES_MAX);
     let mut now = at(2_000);
-    let mut lasted = Vec::new();
+    let mut held_back_s = Vec::new();
 
     for number in CRASHES_MAX..12 {
         let assessment = suspects.assess(now, content(0)).unwrap();
         let Verdict::HeldBack(left) = assessment.verdict else {
             panic!("{assessment:?}");
         };
-        lasted.push(left.as_secs());
+        held_back_s.push(left.as_secs());
         now = now + left;
         let after = suspects.assess(now, content(0)).unwrap();
         assert_eq!(after.verdict, Verdict::Trial);
         suspects.record_crash(now, content(0), &upstream(number));
     }
 
-    assert_eq!(lasted[..5], [15, 120, 960, 7_680, 21_600]);
+    assert_eq!(held_back_s[..5], [15, 120, 960, 7_680, 21_600]);
     assert!(
-        lasted
+        held_back_s
             .iter()
             .all(|seconds| *seconds <= HELD_BACK_MAX.as_secs())
     );
 }
 
 #[test]
-fn one_request_at_a_time_is_the_trial() {
-    let mut suspects = witness(CRASHES_MAX);
+fn one_request_at_a_time_is_a_trial() {
+    let mut suspects = with_crashes(CRASHES_MAX);
     let due = at(2_000) + HELD_BACK_MIN;
 
     let first = suspects.begin_trial(due, content(0));
     let second = suspects.begin_trial(due, content(0));
-    let later = suspects.begin_trial(due + TRIAL_LASTS, content(0));
+    let later = suspects.begin_trial(due + TRIAL_TIMEOUT, content(0));
 
     assert_eq!((first, second, later), (true, false, true));
     assert!(!suspects.begin_trial(due, content(1)));
 }
 
 #[test]
-fn an_answer_clears_a_content_here_and_at_those_who_hear() {
-    let mut suspects = witness(CRASHES_MAX);
-    let mut other = witness(CRASHES_MAX);
+fn an_answer_clears_a_content_here_and_at_peers() {
+    let mut suspects = with_crashes(CRASHES_MAX);
+    let mut other = with_crashes(CRASHES_MAX);
 
     suspects.record_answer(at(5_000), content(0));
-    let told = suspects.announce(at(5_001));
-    other.merge(at(5_002), &told);
+    let announced = suspects.announce(at(5_001));
+    other.merge(at(5_002), &announced);
     // Who has not heard yet tells of the crashes before.
-    suspects.merge(at(5_003), &witness(CRASHES_MAX).announce(at(5_003)));
+    suspects.merge(at(5_003), &with_crashes(CRASHES_MAX).announce(at(5_003)));
 
     assert!(!is_held_back(&suspects, at(5_004), 0));
     assert!(!is_held_back(&other, at(5_004), 0));
@@ -153,17 +153,17 @@
 
 #[test]
 fn an_upstream_that_answers_a_later_request_has_not_crashed() {
-    let mut suspects = witness(CRASHES_MAX);
+    let mut suspects = with_crashes(CRASHES_MAX);
 
     suspects.record_alive(at(1_500), &upstream(1));
-    suspects.merge(at(2_500), &witness(CRASHES_MAX).announce(at(2_500)));
+    suspects.merge(at(2_500), &with_crashes(CRASHES_MAX).announce(at(2_500)));
 
     assert_eq!(suspects.assess(at(3_000), content(0)).unwrap().crashes, 2);
 }
 
 #[test]
 fn an_answer_to_an_earlier_request_proves_nothing() {
-    let mut suspects = witness(CRASHES_MAX);
+    let mut suspects = with_crashes(CRASHES_MAX);
 
     suspects.record_alive(at(900), &upstream(1));
 
@@ -172,9 +172,9 @@
 
 #[test]
 fn an_upstream_that_stays_listed_has_not_crashed() {
-    let mut suspects = witness(CRASHES_MAX);
+    let mut suspects = with_crashes(CRASHES_MAX);
     let listed = HashSet::from([upstream(2).key()]);
-    let lapsed = at(2_001) + LISTED_WITHOUT;
+    let lapsed = at(2_001) + STALE_LISTING_MAX;
 
     suspects.check_listed(at(2_000), &ListedUpstreams::Fresh(listed.clone()));
     suspects.check_listed(lapsed, &ListedUpstreams::Fresh(listed));
@@ -183,10 +183,10 @@
 }
 
 #[test]
-fn a_list_that_may_be_old_acquits_nobody() {
-    let mut suspects = witness(CRASHES_MAX);
+fn a_stale_listing_clears_no_crash() {
+    let mut suspects = with_crashes(CRASHES_MAX);
     let listed = || ListedUpstreams::Fresh(HashSet::from([upstream(2).key()]));
-    let lapsed = at(2_001) + LISTED_WITHOUT;
+    let lapsed = at(2_001) + STALE_LISTING_MAX;
 
     suspects.check_listed(at(2_000), &listed());
     suspects.check_listed(at(4_000), &ListedUpstreams::Unknown);
@@ -196,61 +196,64 @@
 }
 
 #[test]
-fn news_is_told_several_times_and_the_rest_in_turn() {
+fn changes_are_announced_several_times_and_the_rest_in_rotation() {
     let mut suspects = Suspects::default();
     for number in 0..40 {
         suspects.record_crash(at(0), content(number), &upstream(0));
     }
-    let mut told = HashSet::new();
-    let mut tellings = 0;
+    let mut announced = HashSet::new();
+    let mut announcements = 0;
 
     for round in 0..400 {
         let datagram = suspects.announce(at(250 * round));
-        tellings += datagram.len();
-        told.extend(datagram.iter().map(|suspect| suspect.fingerprint));
-        assert!(datagram.len() <= NEWS_TOLD + 4);
+        announcements += datagram.len();
+        announced.extend(datagram.iter().map(|suspect| suspect.fingerprint));
+        assert!(datagram.len() <= CHANGES_MAX + 4);
     }
 
-    assert_eq!(told.len(), 40);
-    assert!(tellings >= 40 * usize::from(OWN_TELLINGS), "{tellings}");
+    assert_eq!(announced.len(), 40);
     assert!(
-        tellings <= 40 * usize::from(OWN_TELLINGS) + 400,
-        "{tellings}"
+        announcements >= 40 * usize::from(OWN_ANNOUNCEMENTS),
+        "{announcements}"
+    );
+    assert!(
+        announcements <= 40 * usize::from(OWN_ANNOUNCEMENTS) + 400,
+        "{announcements}"
     );
 }
 
 #[test]
-fn a_flood_of_single_crashes_pushes_out_nobody_who_is_held_back() {
-    let mut suspects = witness(CRASHES_MAX);
-    for number in 1..2 * REQUESTS_MAX {
+fn single_crashes_evict_no_held_back_content() {
+    let mut suspects = with_crashes(CRASHES_MAX);
+    for number in 1..2 * SUSPECTS_MAX {
         let now = at(3_000 + number as u64);
         suspects.record_crash(now, content(number), &upstream(number));
     }
 
     let (held_back, known) = suspects.count(at(4_000));
 
-    assert_eq!((held_back, known), (1, REQUESTS_MAX));
+    assert_eq!((held_back, known), (1, SUSPECTS_MAX));
 }
 
 #[test]
-fn what_is_old_is_forgotten() {
-    let mut suspects = witness(1);
+fn old_evidence_expires() {
+    let mut suspects = with_crashes(1);
 
-    suspects.expire(at(0) + REMEMBERED);
+    suspects.expire(at(0) + EVIDENCE_TTL);
 
-    assert_eq!(suspects.count(at(0) + REMEMBERED), (0, 0));
+    assert_eq!(suspects.count(at(0) + EVIDENCE_TTL), (0, 0));
 }
 
 #[test]
-fn ages_beyond_the_hosts_own_are_taken_for_its_start() {
+fn ages_beyond_the_hosts_uptime_are_clamped_to_its_start() {
     let mut suspects = Suspects::default();
-    let told = AnnouncedSuspect {
+    let announced = AnnouncedSuspect {
         fingerprint: content(0),
         crashes: vec![(upstream(0).key(), u32::MAX); 300],
         answered_ms_ago: Some(u32::MAX),
     };
 
-    suspects.merge(at(0), &[told]);
+    suspects.merge(at(0), &[announced]);
 
     assert_eq!(suspects.assess(at(0), content(0)).unwrap().crashes, 1);
 }
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -19,11 +19,11 @@
 use crate::gateway::peers::FAR_PARTNERS;
 
 /// One datagram in ten is lost.
-const LOSS: f64 = 0.1;
+const LOSS_RATE: f64 = 0.1;
 /// Hosts of each other data centre that a host knows at least.
-const KNOWN_FAR: usize = 4;
+const FAR_HOSTS_KNOWN: usize = 4;
 /// All hosts know within this time: a host is held to what others know 3 s after the last crash.
-const BOUND: Duration = Duration::from_millis(3_000);
+const HOLD_BACK_BOUND: Duration = Duration::from_millis(3_000);
 /// The step of the model's time.
 const STEP: Duration = Duration::from_millis(50);
 
@@ -43,11 +43,11 @@
     fn start(count: usize, data_centres: usize) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(11);
         let near = interval_among(count / data_centres);
-        let mut part = |whole: Duration| at(0) + whole.mul_f64(random.random());
+        let mut random_part = |whole: Duration| at(0) + whole.mul_f64(random.random());
         let hosts = (0..count).map(|_| Host {
             suspects: Suspects::default(),
-            next_near: part(near),
-            next_far: part(FAR_INTERVAL),
+            next_near: random_part(near),
+            next_far: random_part(FAR_INTERVAL),
         });
         Fleet {
             hosts: hosts.collect(),
@@ -64,77 +64,77 @@
             .collect()
     }
 
-    fn send(&mut self, now: Time, targets: &[usize], told: &[AnnouncedSuspect]) {
+    fn send(&mut self, now: Time, targets: &[usize], announced: &[AnnouncedSuspect]) {
         for target in targets {
-            if !self.random.random_bool(LOSS) {
-                self.hosts[*target].suspects.merge(now, told);
+            if !self.random.random_bool(LOSS_RATE) {
+                self.hosts[*target].suspects.merge(now, announced);
             }
         }
     }
 
     /// A host sees an upstream crash and tells all whom it knows at once: its data centre and some of each other.
-    fn witness(&mut self, now: Time, host: usize, crashed: usize) {
+    fn crash(&mut self, now: Time, host: usize, crashed: usize) {
         let suspects = &mut self.hosts[host].suspects;
         suspects.record_crash(now, content(0), &upstream(crashed));
-        let told = suspects.observed_since(now, Time::from_us(now.as_us() - 1));
+        let announced = suspects.observed_since(now, Time::from_us(now.as_us() - 1));
         let here = host % self.data_centres;
         for data_centre in 0..self.data_centres {
             let mut known = self.hosts_in(data_centre);
             if data_centre != here {
-                known.truncate(KNOWN_FAR);
+                known.truncate(FAR_HOSTS_KNOWN);
             }
-            self.send(now, &known, &told);
+            self.send(now, &known, &announced);
         }
     }
 
-    fn round(&mut self, now: Time, host: usize) {
+    fn send_due(&mut self, now: Time, host: usize) {
         let here = host % self.data_centres;
         let near = self.hosts_in(here);
         if self.hosts[host].next_near <= now {
             self.hosts[host].next_near = now + interval_among(near.len());
-            let told = self.hosts[host].suspects.announce(now);
-            self.send(now, &near, &told);
+            let announced = self.hosts[host].suspects.announce(now);
+            self.send(now, &near, &announced);
         }
         if self.hosts[host].next_far <= now {
             self.hosts[host].next_far = now + FAR_INTERVAL;
-            let told = self.hosts[host].suspects.announce(now);
+            let announced = self.hosts[host].suspects.announce(now);
             for data_centre in (0..self.data_centres).filter(|other| *other != here) {
                 let there = self.hosts_in(data_centre);
                 let from = self.random.random_range(0..there.len());
                 let some = there.iter().cycle().skip(from).take(FAR_PARTNERS);
                 let some: Vec<usize> = some.copied().collect();
-                self.send(now, &some, &told);
+                self.send(now, &some, &announced);
             }
         }
     }
 
     /// Time from the last crash until all hosts hold the request back.
-    fn time_until_all_know(&mut self) -> Duration {
+    fn time_until_all_hold_back(&mut self) -> Duration {
         let count = self.hosts.len();
         for crashed in 0..CRASHES_MAX {
             // Each by a host of another data centre.
-            self.witness(at(crashed as u64), crashed % count, crashed);
+            self.crash(at(crashed as u64), crashed % count, crashed);
         }
         let last = at(CRASHES_MAX as u64);
         let mut now = last;
-        while now.since(last) < BOUND * 2 {
+        while now.since(last) < HOLD_BACK_BOUND * 2 {
             let hosts = self.hosts.iter();
             let mut held_back = hosts.map(|host| is_held_back(&host.suspects, now, 0));
             if held_back.all(|is_held_back| is_held_back) {
                 return now.since(last);
             }
             now = now + STEP;
-            (0..count).for_each(|host| self.round(now, host));
+            (0..count).for_each(|host| self.send_due(now, host));
         }
         now.since(last)
     }
 }
 
 #[test]
-fn all_hosts_hold_back_in_time_whatever_the_size_of_the_fleet() {
+fn all_hosts_hold_back_in_time_at_any_fleet_size() {
     for (hosts, data_centres) in [(4, 1), (30, 3), (300, 5), (1_100, 15)] {
-        let time = Fleet::start(hosts, data_centres).time_until_all_know();
+        let time = Fleet::start(hosts, data_centres).time_until_all_hold_back();
 
-        assert!(time < BOUND, "{hosts} hosts: {time:?}");
+        assert!(time < HOLD_BACK_BOUND, "{hosts} hosts: {time:?}");
     }
 }
--- a/src/gateway/suspension.rs
+++ b/src/gateway/suspension.rs
@@ -12,14 +12,14 @@
 /// A difference of the clocks from which on a host was suspended: far more than the time between their two
 /// readings on a host of a tenth of a core, far less than any bound on what hosts believe (2 s).
 const SUSPENSION_MIN: Duration = Duration::from_millis(300);
-/// A host that has woken serves by what it knows after this time, if the log and all others are silent; as long
+/// A host that has resumed serves by what it knows after this time, if the log and all others are silent; as long
 /// as a host that starts waits at most for its first word.
-const WAKING_MAX: Duration = Duration::from_millis(2_500);
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// What the clocks have shown. Both begin at zero with the process.
 #[derive(Debug, Default)]
 pub(crate) struct SuspensionDetector {
-    last: (Time, Time),
+    last_readings: (Time, Time),
     resumed_at: Option<Time>,
     last_suspension: Duration,
 }
@@ -28,10 +28,11 @@
     /// Compares the clocks: `now` counts suspensions, `steady` doesn't. For how long the host was suspended since
     /// the last look, if it was.
     pub(crate) fn check(&mut self, now: Time, steady: Time) -> Option<Duration> {
-        let (last_now, last_steady) = std::mem::replace(&mut self.last, (now, steady));
+        let (previous_now, previous_steady) =
+            std::mem::replace(&mut self.last_readings, (now, steady));
         let suspended = now
-            .since(last_now)
-            .saturating_sub(steady.since(last_steady));
+            .since(previous_now)
+            .saturating_sub(steady.since(previous_steady));
         if suspended < SUSPENSION_MIN {
             return None;
         }
@@ -42,7 +43,8 @@
 
     /// When the host woke, if that is so lately that it may still not know what changed.
     pub(crate) fn resumed_at(&self, now: Time) -> Option<Time> {
-        self.resumed_at.filter(|at| now.since(*at) < WAKING_MAX)
+        self.resumed_at
+            .filter(|at| now.since(*at) < CONFIRM_TIMEOUT)
     }
 
     /// How long the last suspension was; zero if there was none.
--- a/src/gateway/suspension/tests.rs
+++ b/src/gateway/suspension/tests.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
+use super::CONFIRM_TIMEOUT;
 use super::SUSPENSION_MIN;
 use super::SuspensionDetector;
-use super::WAKING_MAX;
 use crate::clock::Time;
 
 const START: Time = Time::from_ms(10_000);
@@ -14,31 +14,31 @@
 }
 
 #[test]
-fn time_that_only_one_clock_counts_is_a_suspension() {
+fn a_difference_between_the_clocks_is_a_suspension() {
     let mut detector = started();
     let suspended = Duration::from_secs(8);
-    let passed = Duration::from_millis(40);
+    let awake = Duration::from_millis(40);
 
-    let found = detector.check(START + suspended + passed, START + passed);
+    let suspension = detector.check(START + suspended + awake, START + awake);
 
-    assert_eq!(found, Some(suspended));
+    assert_eq!(suspension, Some(suspended));
     assert_eq!(detector.last_suspension(), suspended);
 }
 
 #[test]
-fn it_is_found_once() {
+fn a_suspension_is_reported_once() {
     let mut detector = started();
-    let woken = START + Duration::from_secs(8);
-    detector.check(woken, START);
+    let resumed = START + Duration::from_secs(8);
+    detector.check(resumed, START);
 
     assert_eq!(
-        detector.check(woken + SUSPENSION_MIN, START + SUSPENSION_MIN),
+        detector.check(resumed + SUSPENSION_MIN, START + SUSPENSION_MIN),
         None
     );
 }
 
 #[test]
-fn a_host_that_stood_still_by_both_clocks_was_not_suspended() {
+fn time_that_both_clocks_count_is_no_suspension() {
     let mut detector = started();
     let later = START + Duration::from_secs(30);
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn small_differences_and_a_steady_clock_that_is_ahead_are_none() {
+fn small_differences_and_a_steady_clock_ahead_are_ignored() {
     let mut detector = started();
     let under = SUSPENSION_MIN - Duration::from_millis(1);
 
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn a_host_counts_as_waking_for_a_bounded_time() {
+fn the_time_of_resuming_is_reported_for_a_bounded_time() {
     let mut detector = started();
-    let woken = START + Duration::from_secs(8);
-    detector.check(woken, START);
+    let resumed = START + Duration::from_secs(8);
+    detector.check(resumed, START);
 
-    assert_eq!(detector.resumed_at(woken), Some(woken));
-    assert_eq!(detector.resumed_at(woken + WAKING_MAX), None);
+    assert_eq!(detector.resumed_at(resumed), Some(resumed));
+    assert_eq!(detector.resumed_at(resumed + CONFIRM_TIMEOUT), None);
 }
