--- a/tests/deadlyrequests/mod.rs
+++ b/tests/crashingrequests/mod.rs
@@ -20,17 +20,17 @@
 use crate::post;
 use crate::ran;
 
-const DEADLY: &str = "exhausts the memory";
+const CRASHING_BODY: &str = "exhausts the memory";
 const HOSTS: usize = 4;
 const UPSTREAMS: usize = 6;
 /// A host is in touch again, and held to what others know, so long after a disturbance.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_MAX: Duration = Duration::from_secs(3);
 /// Retries of a request under which three upstreams have crashed that may still be sent.
 const RETRIES_MAX: usize = 3;
 /// Upstreams that have crashed under a request before it is known for it.
-const KNOWN_AFTER: usize = 3;
+const CRASH_THRESHOLD: usize = 3;
 /// Longer than the route's own timeout: a caller that comes back is another one for the upstreams.
-const RETURN_MIN: Duration = Duration::from_secs(5);
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(5);
 /// Repeats after everybody has had time to hear.
 const REPEATS: usize = 40;
 
@@ -55,15 +55,15 @@
             crashed: 0,
         };
         for _ in 0..UPSTREAMS {
-            pool.start_one();
+            pool.start_upstream();
         }
         pool
     }
 
-    fn start_one(&mut self) {
+    fn start_upstream(&mut self) {
         self.started += 1;
         let id = format!("up-{:03}", self.started);
-        let upstream = FakeUpstream::mortal(&id, self.behaviour.clone(), DEADLY, self.death);
+        let upstream = FakeUpstream::mortal(&id, self.behaviour.clone(), CRASHING_BODY, self.death);
         self.log.put("upstreams", &id, &upstream.entry("ready"));
         self.listed.push(upstream);
     }
@@ -76,7 +76,7 @@
         self.crashed += crashed.len();
         for upstream in crashed {
             self.log.put("upstreams", upstream.id(), &Value::Null);
-            self.start_one();
+            self.start_upstream();
         }
         self.crashed
     }
@@ -104,36 +104,39 @@
             sent: 0,
         };
         for host in 0..HOSTS {
-            assert!(wait_until(|| deployment.ordinary(host) == 200));
+            assert!(wait_until(|| deployment.send_harmless(host) == 200));
         }
         deployment
     }
 
     /// Sends the deadly request to the next host, whatever becomes of it.
-    fn send_deadly(&mut self) -> Answer {
+    fn send_crashing(&mut self) -> Answer {
         let host = &self.hosts[self.sent % self.hosts.len()];
         self.sent += 1;
-        let answer = ask(host.callers(), &post("/nets/7", "", DEADLY));
+        let answer = ask(host.callers(), &post("/nets/7", "", CRASHING_BODY));
         self.pool.replace_crashed();
         answer
     }
 
     /// The status of another request at a host.
-    fn ordinary(&self, host: usize) -> u16 {
+    fn send_harmless(&self, host: usize) -> u16 {
         let host = &self.hosts[host];
         ask(host.callers(), &post("/nets/7", "", "tighten")).status
     }
 
     /// Sends it until enough upstreams have crashed, and on until everybody must have heard.
-    fn make_known(&mut self) {
-        let known = Instant::now();
-        while self.pool.crashed < KNOWN_AFTER {
-            self.send_deadly();
-            assert!(known.elapsed() < CONTACT * 3, "the request ends nothing");
+    fn crash_until_known(&mut self) {
+        let started = Instant::now();
+        while self.pool.crashed < CRASH_THRESHOLD {
+            self.send_crashing();
+            assert!(
+                started.elapsed() < PROPAGATION_MAX * 3,
+                "the request ends nothing"
+            );
         }
-        let heard = Instant::now() + CONTACT;
-        while Instant::now() < heard {
-            self.send_deadly();
+        let known_by_all = Instant::now() + PROPAGATION_MAX;
+        while Instant::now() < known_by_all {
+            self.send_crashing();
         }
     }
 
@@ -144,17 +147,17 @@
         for host in 0..HOSTS {
             assert!(wait_until(|| self.hosts[host].is_ready()));
         }
-        let heard = Instant::now() + CONTACT;
-        while Instant::now() < heard {
-            assert_eq!(self.ordinary(0), 200);
+        let known_by_all = Instant::now() + PROPAGATION_MAX;
+        while Instant::now() < known_by_all {
+            assert_eq!(self.send_harmless(0), 200);
         }
     }
 
     /// Upstreams that crash under repeats from now on.
-    fn crashes_of_repeats(&mut self) -> usize {
+    fn crashes_under_repeats(&mut self) -> usize {
         let before = self.pool.crashed;
         for _ in 0..REPEATS {
-            self.send_deadly();
+            self.send_crashing();
         }
         self.pool.crashed - before
     }
@@ -163,12 +166,12 @@
 /// Upstreams that crash under repeats once a request is known for it.
 fn crashes_once_known(kind: &str, behaviour: Behaviour, death: Death) -> usize {
     let mut deployment = Deployment::start(kind, behaviour, death);
-    deployment.make_known();
-    deployment.crashes_of_repeats()
+    deployment.crash_until_known();
+    deployment.crashes_under_repeats()
 }
 
-const SOUND: Behaviour = Behaviour::Answer(200, "sound");
-const SOUND_STREAM: Behaviour = Behaviour::Events {
+const HEALTHY: Behaviour = Behaviour::Answer(200, "sound");
+const HEALTHY_STREAM: Behaviour = Behaviour::Events {
     to: 3,
     break_after: None,
     hold_after: None,
@@ -179,35 +182,35 @@
 // repeat like any other request: 7, 7 and 13 engines were lost in three series. In the lines of 14 losses exactly one
 // stream of one kind broke before its first event each time.
 #[test]
-fn a_stream_under_which_upstreams_crash_is_held_back_at_all_hosts() {
-    let mut deployment = Deployment::start("stream", SOUND_STREAM, Death::AfterHead);
-    deployment.make_known();
+fn a_stream_that_crashes_upstreams_is_held_back_at_all_hosts() {
+    let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
+    deployment.crash_until_known();
 
-    let crashes = deployment.crashes_of_repeats();
+    let crashes = deployment.crashes_under_repeats();
 
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
     for host in 0..HOSTS {
-        assert_eq!(deployment.ordinary(host), 200);
+        assert_eq!(deployment.send_harmless(host), 200);
     }
 }
 
 #[test]
-fn a_stream_under_which_upstreams_crash_late_is_held_back() {
-    let crashes = crashes_once_known("stream", SOUND_STREAM, Death::AfterEvents(2));
+fn a_stream_that_crashes_upstreams_late_is_held_back() {
+    let crashes = crashes_once_known("stream", HEALTHY_STREAM, Death::AfterEvents(2));
 
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
 
 #[test]
-fn a_call_that_may_be_repeated_and_crashes_upstreams_is_held_back() {
-    let crashes = crashes_once_known("idempotent", SOUND, Death::BeforeAnswer);
+fn an_idempotent_call_that_crashes_upstreams_is_held_back() {
+    let crashes = crashes_once_known("idempotent", HEALTHY, Death::BeforeAnswer);
 
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
 
 #[test]
-fn a_call_that_runs_once_and_crashes_upstreams_is_held_back() {
-    let crashes = crashes_once_known("once", SOUND, Death::BeforeAnswer);
+fn a_once_only_call_that_crashes_upstreams_is_held_back() {
+    let crashes = crashes_once_known("once", HEALTHY, Death::BeforeAnswer);
 
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
@@ -215,14 +218,14 @@
 // Evidence lived in the hosts' memory alone: each time that all of them were lost, three more upstreams crashed under
 // a request that had been held back (6 after two losses, where 3 may be sent in all).
 #[test]
-fn what_is_held_back_stays_so_when_all_hosts_are_lost_twice() {
-    let mut deployment = Deployment::start("stream", SOUND_STREAM, Death::AfterHead);
-    deployment.make_known();
+fn requests_stay_held_back_after_all_hosts_are_lost_twice() {
+    let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
+    deployment.crash_until_known();
     let known = deployment.pool.crashed;
 
     for _ in 0..2 {
         deployment.restart_hosts();
-        deployment.crashes_of_repeats();
+        deployment.crashes_under_repeats();
     }
 
     let crashes = deployment.pool.crashed - known;
@@ -230,32 +233,32 @@
 }
 
 #[test]
-fn the_refusal_says_that_it_did_not_run_and_when_to_return() {
-    let mut deployment = Deployment::start("stream", SOUND_STREAM, Death::AfterHead);
-    deployment.make_known();
+fn the_refusal_carries_ran_no_and_retry_after() {
+    let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
+    deployment.crash_until_known();
 
-    let answer = deployment.send_deadly();
+    let answer = deployment.send_crashing();
 
     let seconds = answer.header("retry-after");
     let seconds: f64 = seconds.and_then(|text| text.parse().ok()).unwrap_or(0.0);
     assert_eq!((answer.status, ran(&answer).as_str()), (503, "no"));
     assert_eq!(code(&answer), "crashes_upstreams");
-    assert!(seconds > RETURN_MIN.as_secs_f64(), "{seconds}");
+    assert!(seconds > RETRY_AFTER_MIN.as_secs_f64(), "{seconds}");
 }
 
 #[test]
-fn a_host_that_joins_holds_back_what_the_others_know() {
-    let mut deployment = Deployment::start("stream", SOUND_STREAM, Death::AfterHead);
-    deployment.make_known();
+fn a_joining_host_holds_back_what_its_peers_know() {
+    let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
+    deployment.crash_until_known();
     let joined = World::join(&deployment.hosts[0]);
     assert!(wait_until(|| joined.is_ready()));
-    let ready = Instant::now() + CONTACT;
+    let ready = Instant::now() + PROPAGATION_MAX;
     deployment.hosts = vec![joined];
     while Instant::now() < ready {
-        deployment.send_deadly();
+        deployment.send_crashing();
     }
 
-    let crashes = deployment.crashes_of_repeats();
+    let crashes = deployment.crashes_under_repeats();
 
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
@@ -263,8 +266,8 @@
 // Three resets by living upstreams look like three crashes until one of them answers something, or is still listed
 // when a crashed one would be gone. Where every request met resets first, nothing was answered any more.
 #[test]
-fn a_request_whose_connections_break_at_living_upstreams_is_served() {
-    let behaviours = [Behaviour::Close, Behaviour::Close, SOUND];
+fn a_request_whose_connections_healthy_upstreams_reset_is_served() {
+    let behaviours = [Behaviour::Close, Behaviour::Close, HEALTHY];
     let upstreams: Vec<FakeUpstream> = (0..UPSTREAMS)
         .map(|index| FakeUpstream::start(&format!("up-{index}"), &behaviours))
         .collect();
@@ -283,9 +286,9 @@
 }
 
 #[test]
-fn a_request_that_was_answered_since_is_not_blamed_for_crashes() {
+fn a_request_answered_between_crashes_is_not_blamed_for_them() {
     let upstreams: Vec<FakeUpstream> = (0..UPSTREAMS)
-        .map(|index| FakeUpstream::start(&format!("up-{index}"), &[SOUND]))
+        .map(|index| FakeUpstream::start(&format!("up-{index}"), &[HEALTHY]))
         .collect();
     let listed: Vec<&FakeUpstream> = upstreams.iter().collect();
     let world = World::serving(json!([route("idempotent")]), &listed);
--- a/tests/evacuation/mod.rs
+++ b/tests/evacuation/mod.rs
@@ -24,13 +24,13 @@
 use crate::ran;
 
 /// An evacuation is in force on all hosts within this time, half of what is allowed.
-const IN_FORCE: Duration = Duration::from_millis(2_500);
+const EVACUATE_WITHIN: Duration = Duration::from_millis(2_500);
 /// and its end within this time.
-const TAKEN_BACK: Duration = Duration::from_secs(1);
+const RESTORE_WITHIN: Duration = Duration::from_secs(1);
 /// Requests that each host is sent to see where they go.
-const REQUESTS: usize = 10;
+const REQUESTS_PER_HOST: usize = 10;
 /// So many hosts that a few read the log for all.
-const LARGE: usize = 20;
+const LARGE_FLEET_HOSTS: usize = 20;
 
 /// An upstream in the hosts' own data centre, which is preferred, and one in another.
 struct Upstreams {
@@ -40,10 +40,10 @@
 
 impl Upstreams {
     fn start() -> Self {
-        let sound = [Behaviour::Answer(200, "sound")];
+        let healthy = [Behaviour::Answer(200, "sound")];
         Upstreams {
-            north: FakeUpstream::start("up-north", &sound),
-            south: FakeUpstream::start("up-south", &sound).in_data_centre("south"),
+            north: FakeUpstream::start("up-north", &healthy),
+            south: FakeUpstream::start("up-south", &healthy).in_data_centre("south"),
         }
     }
 
@@ -71,7 +71,7 @@
     assert!(wait_until(|| fleet.iter().all(World::is_ready)));
     assert!(wait_until(|| fleet
         .iter()
-        .all(|host| ask_once(host).status == 200)));
+        .all(|host| send_request(host).status == 200)));
     (fleet, upstreams)
 }
 
@@ -79,42 +79,42 @@
     log.put("operator", &format!("evacuate/{data_centre}"), &json!({}));
 }
 
-fn take_back(log: &FakeLog, data_centre: &str) {
+fn restore(log: &FakeLog, data_centre: &str) {
     log.put("operator", &format!("evacuate/{data_centre}"), &Value::Null);
 }
 
-fn ask_once(host: &World) -> Answer {
+fn send_request(host: &World) -> Answer {
     ask(host.callers(), &get("/nets/7", ""))
 }
 
-fn ask_for(hosts: &[World], time: Duration) {
+fn send_requests_for(hosts: &[World], time: Duration) {
     let ends = Instant::now() + time;
     while Instant::now() < ends {
         for host in hosts {
-            ask_once(host);
+            send_request(host);
         }
     }
 }
 
-/// Requests that reach `upstream` of those that the hosts are sent, [`IN_FORCE`] from now on.
+/// Requests that reach `upstream` of those that the hosts are sent, [`EVACUATE_WITHIN`] from now on.
 fn requests_after(hosts: &[World], upstream: &FakeUpstream) -> usize {
-    ask_for(hosts, IN_FORCE);
+    send_requests_for(hosts, EVACUATE_WITHIN);
     let before = upstream.seen().len();
-    for _ in 0..REQUESTS {
+    for _ in 0..REQUESTS_PER_HOST {
         for host in hosts {
-            ask_once(host);
+            send_request(host);
         }
     }
     upstream.seen().len() - before
 }
 
-/// Whether within [`TAKEN_BACK`] all hosts send to `upstream` again.
+/// Whether within [`RESTORE_WITHIN`] all hosts send to `upstream` again.
 fn is_used_by_all(hosts: &[World], upstream: &FakeUpstream) -> bool {
-    let ends = Instant::now() + TAKEN_BACK;
+    let ends = Instant::now() + RESTORE_WITHIN;
     hosts.iter().all(|host| {
         let used = || {
             let before = upstream.seen().len();
-            ask_once(host);
+            send_request(host);
             upstream.seen().len() > before
         };
         std::iter::repeat_with(used)
@@ -126,13 +126,13 @@
 // Nothing read the operators' word on data centres: 352 requests of a day reached one that was evacuated, the first
 // 5,008 ms after the word was acknowledged, where 5,000 are allowed.
 #[test]
-fn an_evacuated_data_centre_gets_nothing_until_it_is_taken_back() {
+fn an_evacuated_data_centre_gets_no_requests_until_it_is_restored() {
     let (hosts, upstreams) = deployment(4);
     let log = &hosts[0].log;
 
     evacuate(log, "north");
     let evacuated = requests_after(&hosts, &upstreams.north);
-    take_back(log, "north");
+    restore(log, "north");
 
     assert_eq!(evacuated, 0);
     assert!(is_used_by_all(&hosts, &upstreams.north));
@@ -140,40 +140,40 @@
 
 #[test]
 fn hosts_of_a_large_fleet_obey_though_a_tenth_can_not_read_the_log() {
-    let (hosts, upstreams) = deployment(LARGE);
+    let (hosts, upstreams) = deployment(LARGE_FLEET_HOSTS);
     let log = &hosts[0].log;
-    for host in &hosts[1..=LARGE / 10] {
+    for host in &hosts[1..=LARGE_FLEET_HOSTS / 10] {
         host.log.set_silence(Silence::AllCalls);
     }
 
     evacuate(log, "north");
     let evacuated = requests_after(&hosts, &upstreams.north);
-    take_back(log, "north");
+    restore(log, "north");
 
     assert_eq!(evacuated, 0);
     assert!(is_used_by_all(&hosts, &upstreams.north));
 }
 
 #[test]
-fn hosts_that_start_meanwhile_send_nothing_there() {
+fn hosts_that_start_during_an_evacuation_send_nothing_there() {
     let log = FakeLog::start([127, 0, 0, 1].into());
     let upstreams = Upstreams::start();
     upstreams.list(&log);
     publish(&log, 1);
     evacuate(&log, "north");
 
-    let hosts = World::start_fleet_at(&log, LARGE);
-    let is_serving = wait_until(|| hosts.iter().all(|host| ask_once(host).status == 200));
+    let hosts = World::start_fleet_at(&log, LARGE_FLEET_HOSTS);
+    let is_serving = wait_until(|| hosts.iter().all(|host| send_request(host).status == 200));
 
     assert!(is_serving);
     assert_eq!(upstreams.north.seen().len(), 0);
 }
 
 #[test]
-fn a_host_that_joins_while_the_log_is_away_learns_it_from_others() {
+fn a_host_that_joins_during_a_log_outage_learns_evacuations_from_peers() {
     let (hosts, upstreams) = deployment(4);
     evacuate(&hosts[0].log, "north");
-    ask_for(&hosts, IN_FORCE);
+    send_requests_for(&hosts, EVACUATE_WITHIN);
     for host in &hosts {
         host.log.set_down(true);
     }
@@ -185,27 +185,27 @@
 }
 
 #[test]
-fn an_evacuation_that_the_log_lost_in_its_return_stays_until_it_is_written_again_and_taken_back() {
+fn an_evacuation_lost_by_a_restored_log_holds_until_it_is_rewritten() {
     let (hosts, upstreams) = deployment(4);
     let log = &hosts[0].log;
     evacuate(log, "north");
-    ask_for(&hosts, IN_FORCE);
+    send_requests_for(&hosts, EVACUATE_WITHIN);
     let before = upstreams.north.seen().len();
 
     log.return_from_copy("operator", 1);
-    ask_for(&hosts, IN_FORCE);
+    send_requests_for(&hosts, EVACUATE_WITHIN);
     let lost = upstreams.north.seen().len() - before;
     evacuate(log, "north");
     let written_again = requests_after(&hosts, &upstreams.north);
-    take_back(log, "north");
+    restore(log, "north");
 
     assert_eq!((lost, written_again), (0, 0));
     assert!(is_used_by_all(&hosts, &upstreams.north));
 }
 
 #[test]
-fn an_evacuation_under_an_offset_given_out_again_is_heard() {
-    let (hosts, upstreams) = deployment(LARGE);
+fn an_evacuation_at_a_reused_offset_takes_effect() {
+    let (hosts, upstreams) = deployment(LARGE_FLEET_HOSTS);
     let log = &hosts[0].log;
     publish(log, 2);
     assert!(wait_until(|| hosts.iter().all(|host| host.has_version(2))));
@@ -217,14 +217,14 @@
 }
 
 #[test]
-fn a_host_from_which_the_log_kept_the_news_learns_what_became_of_it_though_the_records_are_gone() {
+fn a_host_catches_up_on_evacuations_whose_records_were_truncated() {
     let (hosts, upstreams) = deployment(1);
     let log = &hosts[0].log;
     evacuate(log, "south");
-    ask_for(&hosts, IN_FORCE);
+    send_requests_for(&hosts, EVACUATE_WITHIN);
     log.set_silence(Silence::AllCalls);
     evacuate(log, "north");
-    take_back(log, "south");
+    restore(log, "south");
     log.truncate("operator");
 
     log.set_silence(Silence::None);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_host_that_was_suspended_meanwhile_sends_nothing_there() {
+fn a_host_suspended_during_an_evacuation_sends_nothing_there() {
     let (hosts, upstreams) = deployment(1);
     let host = &hosts[0];
     host.log.set_silence(Silence::AllCalls);
@@ -243,14 +243,14 @@
 
     host.wake_after(Duration::from_secs(8));
     host.log.set_silence(Silence::None);
-    assert!(wait_until(|| ask_once(host).status == 200));
+    assert!(wait_until(|| send_request(host).status == 200));
 
     assert_eq!(requests_after(&hosts, &upstreams.north), 0);
     assert_eq!(upstreams.north.seen().len(), before);
 }
 
 #[test]
-fn a_request_is_not_repeated_in_an_evacuated_data_centre() {
+fn a_request_is_not_retried_in_an_evacuated_data_centre() {
     let mute = FakeUpstream::start("up-0", &[Behaviour::Mute]);
     let host = World::serving(json!([route("idempotent")]), &[&mute]);
     let other =
@@ -274,13 +274,13 @@
         break_after: None,
         hold_after: Some(7),
     };
-    let sound = Behaviour::Events {
+    let healthy = Behaviour::Events {
         to: 40,
         break_after: None,
         hold_after: None,
     };
     let engine = FakeUpstream::of("reports", "engine-0", &[held]);
-    let other = FakeUpstream::of("reports", "engine-9", &[sound]).in_data_centre("south");
+    let other = FakeUpstream::of("reports", "engine-9", &[healthy]).in_data_centre("south");
     let host = World::start();
     evacuate(&host.log, "south");
     host.list(&engine, "ready");
@@ -296,8 +296,8 @@
     assert!(caller.read_until("id: 7\n"));
 
     host.list(&engine, "leaving");
-    assert!(!wait_until_for(TAKEN_BACK, || !other.seen().is_empty()));
-    take_back(&host.log, "south");
+    assert!(!wait_until_for(RESTORE_WITHIN, || !other.seen().is_empty()));
+    restore(&host.log, "south");
     let answer = caller.read();
 
     assert!(answer.whole);
@@ -312,16 +312,16 @@
 }
 
 #[test]
-fn where_no_other_upstream_is_left_a_caller_is_told_at_once_when_to_come_back() {
+fn callers_are_refused_at_once_when_every_data_centre_is_evacuated() {
     let (hosts, upstreams) = deployment(4);
     let log = &hosts[0].log;
     evacuate(log, "north");
     evacuate(log, "south");
-    ask_for(&hosts, IN_FORCE);
+    send_requests_for(&hosts, EVACUATE_WITHIN);
     let before = upstreams.south.seen().len();
 
     let asked = Instant::now();
-    let answer = ask_once(&hosts[0]);
+    let answer = send_request(&hosts[0]);
 
     assert!(asked.elapsed() < Duration::from_millis(300));
     assert_eq!((answer.status, ran(&answer).as_str()), (503, "no"));
@@ -329,12 +329,12 @@
     assert!(answer.header("retry-after").is_some());
     assert!(hosts.iter().all(World::is_ready));
     assert_eq!(upstreams.south.seen().len(), before);
-    take_back(log, "south");
+    restore(log, "south");
     assert!(is_used_by_all(&hosts, &upstreams.south));
 }
 
 #[test]
-fn the_key_alone_evacuates_and_a_place_that_nobody_knows_concerns_nobody() {
+fn the_key_alone_evacuates_and_unknown_data_centres_are_ignored() {
     let (hosts, upstreams) = deployment(1);
     let log = &hosts[0].log;
 
@@ -343,5 +343,5 @@
     log.put("operator", "evacuate/", &json!({}));
 
     assert_eq!(requests_after(&hosts, &upstreams.north), 0);
-    assert_eq!(ask_once(&hosts[0]).status, 200);
+    assert_eq!(send_request(&hosts[0]).status, 200);
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,7 +1,7 @@
 //! The gateway between raw callers and upstreams that misbehave, without any platform.
 
 mod coldupstreams;
-mod deadlyrequests;
+mod crashingrequests;
 mod evacuation;
 #[allow(dead_code, reason = "tests/slowreaders uses the rest")]
 mod gatewayworld;
--- a/tests/suspendedhost/mod.rs
+++ b/tests/suspendedhost/mod.rs
@@ -21,7 +21,7 @@
 /// Longer than any bound on what a host believes.
 const SUSPENDED: Duration = Duration::from_secs(8);
 /// What a host that wakes finds out by itself, it finds out within this time.
-const FOUND_OUT: Duration = Duration::from_secs(2);
+const DETECT_WITHIN: Duration = Duration::from_secs(2);
 
 fn status(world: &World) -> u16 {
     ask(world.callers(), &get("/nets/7", "")).status
@@ -29,9 +29,9 @@
 
 /// A host with one leaving upstream whose notice it missed, and a sound one; it has just woken, and its reads of
 /// the log are not answered yet.
-fn woken() -> (World, [FakeUpstream; 2]) {
-    let sound = [Behaviour::Answer(200, "sound")];
-    let upstreams = ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &sound));
+fn resumed_host() -> (World, [FakeUpstream; 2]) {
+    let healthy = [Behaviour::Answer(200, "sound")];
+    let upstreams = ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &healthy));
     let world = World::serving(json!([route("once")]), &[&upstreams[0], &upstreams[1]]);
     world.log.set_silence(Silence::AllCalls);
     world.list(&upstreams[0], "leaving");
@@ -42,8 +42,8 @@
 // A host that was suspended for 8 s went on by what it believed before: a notice of that time was not known, and of the
 // requests that came before its next read half went to the upstream that had left.
 #[test]
-fn nothing_is_sent_on_the_word_of_before() {
-    let (world, upstreams) = woken();
+fn nothing_is_sent_on_state_from_before_the_suspension() {
+    let (world, upstreams) = resumed_host();
 
     let answers: Vec<_> = (0..4)
         .map(|_| ask(world.callers(), &get("/nets/7", "")))
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_host_that_woke_serves_as_soon_as_it_has_read_the_log() {
-    let (world, upstreams) = woken();
+fn a_resumed_host_serves_once_it_has_read_the_log() {
+    let (world, upstreams) = resumed_host();
     let was_ready = world.is_ready();
 
     world.log.set_silence(Silence::None);
@@ -73,15 +73,15 @@
 }
 
 #[test]
-fn a_host_that_woke_while_the_log_is_away_serves_by_what_it_knows_after_a_while() {
-    let (world, _upstreams) = woken();
+fn a_resumed_host_serves_on_known_state_while_the_log_is_down() {
+    let (world, _upstreams) = resumed_host();
     world.log.set_down(true);
 
     assert!(wait_until(|| status(&world) == 200));
 }
 
 #[test]
-fn a_stream_whose_callers_time_ran_out_meanwhile_is_ended() {
+fn a_stream_whose_deadline_passed_during_the_suspension_is_ended() {
     let holding = Behaviour::Events {
         to: 9,
         break_after: None,
@@ -93,16 +93,16 @@
     caller.send(get("/nets/7", "deadline-ms: 4000\r\n"));
     assert!(caller.read_until("id: 2"));
 
-    let woke = Instant::now();
+    let resumed = Instant::now();
     world.wake_after(SUSPENDED);
 
     let answer = caller.read();
     assert!(!answer.whole);
-    assert!(woke.elapsed() < FOUND_OUT, "{:?}", woke.elapsed());
+    assert!(resumed.elapsed() < DETECT_WITHIN, "{:?}", resumed.elapsed());
 }
 
 #[test]
-fn time_that_a_request_has_left_is_passed_on_less_the_suspension() {
+fn the_deadline_sent_upstream_is_not_extended_by_a_suspension() {
     let behaviours = [Behaviour::NotRun, Behaviour::Answer(200, "sound")];
     let upstream = FakeUpstream::start("up-0", &behaviours);
     let world = World::serving(json!([route("once")]), &[&upstream]);
