--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -1,10 +1,10 @@
-//! Asks engines whether they are leaving while nobody of the data centre can read the log.
+//! Polls engines for their leaving while no host of the data centre can read the log.
 //!
-//! Notices arrive by the log. While it is away, engines leave all the same, and what runs there
-//! would be lost without a word. Their own reports tell, half a second late. Each engine is asked
-//! by one host of its data centre, chosen by rendezvous hashing over the hosts that are heard; where
-//! two believe that it is theirs, one call more is made. In quiet times nobody asks, since calls to
-//! engines cost them time.
+//! Leaving notices arrive by the log. Engines also leave during a log outage, and the runs on them would be
+//! lost without notice. Their own reports say that they are leaving, half a second late. Each engine is
+//! polled by one host of its data centre, chosen by rendezvous hashing over the live hosts; where two hosts
+//! choose themselves, the engine gets one more call. While the log can be read no engine is polled, since
+//! calls cost engines time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 use crate::gateway::ticks::tick;
 use crate::id::HostId;
 
-/// Between two rounds: engines give at least 1.5 s of notice and their word is half a second old,
-/// so most of a second is left to move what runs there.
+/// Engines give at least 1.5 s of notice and their reports are half a second old, so most of a second is
+/// left to move runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// An engine of the data centre that doesn't answer within this time can't be reached.
+/// An engine of the same data centre that doesn't answer within this time counts as unreachable.
 const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Asks for ever, while there is need.
+/// Polls engines whenever the log can't be read. Never returns.
 pub async fn run(shared: Shared) {
     loop {
         tick(POLL_INTERVAL).await;
@@ -39,7 +39,7 @@
     }
 }
 
-/// The engines of this data centre with work whose word this host is to ask for.
+/// The engines of this data centre that have work and that this host polls.
 fn engines_to_poll(shared: &Shared) -> Vec<Arc<Upstream>> {
     let Some(configuration) = shared.configuration() else {
         return Vec::new();
@@ -57,7 +57,7 @@
         .collect()
 }
 
-/// Whether `host` asks the engine, and none of `others`.
+/// Whether `host`, rather than one of `others`, polls the engine.
 fn is_poller(host: &HostId, others: &[HostId], engine: &InstanceId) -> bool {
     let others = others.iter().map(HostId::as_str);
     rendezvous::is_first(host.as_str(), others, engine.as_str())
@@ -83,13 +83,13 @@
     }
 }
 
-/// The instance that tells; by now it may be a later one than was asked.
+/// The instance that sent the report, which may be a later one than the instance polled.
 fn reporting_instance(polled: &InstanceId, report: &EngineReport) -> InstanceId {
     let born_ms = report.born_ms.or(polled.born_ms());
     InstanceId::new(polled.upstream().clone(), born_ms)
 }
 
-/// An engine that is too busy to tell, or tells what can't be read, says nothing of its leaving.
+/// Logs that a poll gave no readable report. Such an engine doesn't count as leaving.
 fn log_missing_report(shared: &Shared, engine: &Upstream, reason: &str) {
     let line = shared.log().line(EventCode::RecordSkipped);
     line.with("source", "an engine's report")
--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -1,11 +1,12 @@
-//! The data centres that operators have evacuated: their upstreams get no new work until they are taken back.
+//! Data centres that operators have evacuated: their upstreams get no new work until the evacuation ends.
 //!
-//! Operators say so in their topic of the log. What they have said is known as of a position of it, and it is a
-//! few names, so hosts tell each other all of it: the word of a later position replaces that of an earlier one,
-//! in whatever order words arrive and however many are lost.
+//! Operators write evacuations to their topic of the log. The set is a few names and is known as of a
+//! position of that topic, so hosts announce all of it: the set of a later position replaces that of an
+//! earlier one, whatever the order or loss of announcements.
 //!
-//! A log that returns from an older copy may lack an evacuation until operators have written it again. One that was
-//! in force in an earlier history is therefore kept for [`RETENTION`], unless the later history tells of it.
+//! A log restored from an older copy, which begins a new era, may lack an evacuation until operators have
+//! written it again. An evacuation of the era before is therefore retained for [`RETENTION`], unless the
+//! new era has a record of it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,32 +19,33 @@
 use crate::gateway::position::Position;
 use crate::id::DataCentre;
 
-/// Operators have written again by then what the log lost in its return.
+/// How long evacuations that a restored log lacks stay in force. Operators have rewritten them by then.
 const RETENTION: Duration = Duration::from_secs(10);
 
-/// What a record of the operators says of one data centre.
+/// An operators' record that starts or ends the evacuation of one data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationRecord {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// Whether it is evacuated from here on, or taken back.
+    /// Whether the record starts the evacuation or ends it.
     pub is_evacuated: bool,
-    /// What is wrong with the record's value. Its key alone counts.
+    /// Why the record's value can't be read. The record takes effect by its key alone.
     pub flaw: Option<String>,
 }
 
-/// What a host knows of evacuations, as it tells others.
+/// The evacuations that a host knows, as it announces them to its peers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedEvacuations {
-    /// The position of the operators' topic up to which this is all; the first one of all if nothing is known.
+    /// The position of the operators' topic that the set reflects; the default if nothing is known.
     pub as_of: Position,
-    /// What is evacuated by the log.
+    /// The data centres that are evacuated according to the log.
     pub data_centres: BTreeSet<DataCentre>,
-    /// What was in an earlier history of the log, and for how many milliseconds more that counts.
+    /// Data centres evacuated in an earlier era only, with the milliseconds for which they are still
+    /// retained.
     pub kept_ms: BTreeMap<DataCentre, u32>,
 }
 
-/// A data centre was evacuated or taken back.
+/// The start or the end of a data centre's evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// The data centre.
@@ -52,38 +54,38 @@
     pub is_evacuated: bool,
 }
 
-/// The evacuations as one host knows them.
+/// The evacuations known to one host.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     as_of: Position,
     data_centres: BTreeSet<DataCentre>,
-    /// What was evacuated in an earlier history of the log, and until when that counts.
+    /// Data centres evacuated in an earlier era only, with the time at which their retention ends.
     retained_until: BTreeMap<DataCentre, Time>,
 }
 
 impl Evacuations {
-    /// Whether anything is known: a host that has not heard of evacuations doesn't know that there are none.
+    /// Whether the evacuations are known. A host that has received none doesn't know that there are none.
     pub fn is_known(&self) -> bool {
         self.as_of != Position::default()
     }
 
-    /// The position of the operators' topic up to which all is known.
+    /// The position of the operators' topic that the set reflects.
     pub fn as_of(&self) -> Position {
         self.as_of
     }
 
-    /// Whether the upstreams of a data centre get no new work.
+    /// Whether a data centre is evacuated.
     pub fn contains(&self, data_centre: &DataCentre) -> bool {
         self.data_centres.contains(data_centre) || self.retained_until.contains_key(data_centre)
     }
 
-    /// The data centres that are evacuated.
+    /// All evacuated data centres, including retained ones.
     pub fn all(&self) -> BTreeSet<DataCentre> {
         let retained = self.retained_until.keys();
         self.data_centres.iter().chain(retained).cloned().collect()
     }
 
-    /// Takes all that the log holds as of `as_of`.
+    /// Replaces the set by the one that the log holds as of `as_of`.
     pub fn replace(
         &mut self,
         now: Time,
@@ -98,7 +100,7 @@
         self.merge(now, &announced)
     }
 
-    /// Takes the records of the operators between the last position that was read and `read_to`.
+    /// Applies the operators' records between the last position read and `read_to`.
     pub fn apply(
         &mut self,
         records: &[EvacuationRecord],
@@ -119,7 +121,7 @@
         self.changes_since(&before)
     }
 
-    /// What this host knows, for others.
+    /// The announcement of this host's evacuations to its peers.
     pub fn announce(&self, now: Time) -> AnnouncedEvacuations {
         let left_ms =
             |until: &Time| u32::try_from(until.since(now).as_millis()).unwrap_or(u32::MAX);
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Takes what the log or another host tells.
+    /// Merges the evacuations read from the log or announced by a peer.
     pub fn merge(&mut self, now: Time, announced: &AnnouncedEvacuations) -> Vec<EvacuationChange> {
         if announced.as_of < self.as_of {
             return Vec::new();
@@ -149,7 +151,7 @@
         self.changes_since(&before)
     }
 
-    /// Goes on from a later word. Where that is of a later history of the log, what it lacks is kept.
+    /// Moves to the set of a later position. In a later era, evacuations that the new set lacks are retained.
     fn advance(&mut self, now: Time, announced: &AnnouncedEvacuations) {
         let is_return = self.is_known() && announced.as_of.era > self.as_of.era;
         let before = std::mem::replace(&mut self.data_centres, announced.data_centres.clone());
@@ -164,6 +166,7 @@
         self.as_of = announced.as_of;
     }
 
+    /// Retains an evacuation until the given time, unless the log holds it.
     fn retain(&mut self, data_centre: DataCentre, until: Time) {
         if self.data_centres.contains(&data_centre) {
             return;
@@ -172,7 +175,7 @@
         *retained = (*retained).max(until);
     }
 
-    /// Drops what was kept and not written again.
+    /// Drops evacuations whose retention has ended.
     pub fn expire(&mut self, now: Time) -> Vec<EvacuationChange> {
         let before = self.all();
         self.retained_until.retain(|_, until| *until > now);
--- a/src/gateway/evacuations/tests.rs
+++ b/src/gateway/evacuations/tests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Evacuations as of the tenth position of the first history.
+/// Evacuations as of offset 10 of the first era.
 fn evacuations(names: &[&str]) -> Evacuations {
     let mut evacuations = Evacuations::default();
     evacuations.replace(Time::ZERO, set(names), at(1, 10));
--- a/src/gateway/suspension.rs
+++ b/src/gateway/suspension.rs
@@ -1,22 +1,21 @@
-//! Whether this host was suspended, told by two clocks: one counts the time of a suspension, the steady one
-//! doesn't.
+//! Detects suspensions of this host by comparing a clock that counts suspended time with one that doesn't.
 //!
-//! A host that wakes goes on in the middle of a step, and all timers and connections look as if no time had
-//! passed. What it believes of others is then older than its bounds, so it decides nothing on a request
-//! until what it follows has been confirmed.
+//! A resumed host goes on in the middle of a step, and all timers and connections look as if no time had
+//! passed. Its view of upstreams and peers is then older than its bounds allow, so the host decides nothing
+//! on a request until that view has been confirmed.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// A difference of the clocks from which on a host was suspended: far more than the time between their two
-/// readings on a host of a tenth of a core, far less than any bound on what hosts believe (2 s).
+/// The smallest difference between the clocks that counts as a suspension: far more than the time between the
+/// two readings on a tenth of a core, and far less than the shortest bound on the age of a host's view (2 s).
 const SUSPENSION_MIN: Duration = Duration::from_millis(300);
-/// A host that has resumed serves by what it knows after this time, if the log and all others are silent; as long
-/// as a host that starts waits at most for its first word.
+/// A resumed host serves on its unconfirmed view after this time, if the log and all peers stay silent. A
+/// starting host waits as long for its first report.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// What the clocks have shown. Both begin at zero with the process.
+/// Detects suspensions from readings of the two clocks, which both start at zero with the process.
 #[derive(Debug, Default)]
 pub(crate) struct SuspensionDetector {
     last_readings: (Time, Time),
@@ -25,8 +24,8 @@
 }
 
 impl SuspensionDetector {
-    /// Compares the clocks: `now` counts suspensions, `steady` doesn't. For how long the host was suspended since
-    /// the last look, if it was.
+    /// Returns for how long the host was suspended since the last check, if it was. `now` counts suspended
+    /// time, `steady` doesn't.
     pub(crate) fn check(&mut self, now: Time, steady: Time) -> Option<Duration> {
         let (previous_now, previous_steady) =
             std::mem::replace(&mut self.last_readings, (now, steady));
@@ -41,13 +40,13 @@
         Some(suspended)
     }
 
-    /// When the host woke, if that is so lately that it may still not know what changed.
+    /// When the host resumed, if that was less than [`CONFIRM_TIMEOUT`] ago.
     pub(crate) fn resumed_at(&self, now: Time) -> Option<Time> {
         self.resumed_at
             .filter(|at| now.since(*at) < CONFIRM_TIMEOUT)
     }
 
-    /// How long the last suspension was; zero if there was none.
+    /// The duration of the last suspension; zero if there was none.
     pub(crate) fn last_suspension(&self) -> Duration {
         self.last_suspension
     }
