--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -1,9 +1,9 @@
-//! Keeps what is known of requests under which upstreams crashed in the platform's log.
+//! Stores the evidence against requests that crash upstreams in the platform's log.
 //!
-//! Hosts tell each other of crashes, which ends with the last of them, and reaches nobody beyond a cut. So a host
-//! that sees a second crash under one content writes what it knows of it to a keyed topic, and a host
-//! reads that topic when it has started and while other data centres are silent. Requests under which
-//! two upstreams crash are rare, so this costs calls on few days.
+//! Evidence that hosts announce to each other is lost with the last host, and doesn't cross a network
+//! partition. So a host that sees a second crash under one content writes its evidence to a keyed topic,
+//! and a host reads that topic after its start and while other data centres are silent. Requests that crash
+//! two upstreams are rare, so most days need no such calls.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -27,34 +27,36 @@
 use crate::gateway::suspects::AnnouncedSuspect;
 use crate::gateway::ticks::tick;
 
-/// How often it is looked whether there is something to write or to read.
+/// The interval at which a host checks for evidence to write, and whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A host that has just started has heard from others by then, if there are any.
+/// A host waits this long after its start; by then its peers, if any, have sent it datagrams.
 const START_DELAY: Duration = Duration::from_millis(600);
-/// Between two readings while other data centres are silent, and before a failed one is tried again: with
-/// the time of a call below the shortest bound on what hosts must know, 3 s.
+/// The shortest interval between reads while other data centres are silent, and before a failed read is
+/// retried. With the time of a call it stays below the 3 s within which a host must know of crashes.
 const READ_INTERVAL_MIN: Duration = Duration::from_secs(2);
-/// The same of a silence that lasts, as a part of it: a data centre that is gone for good costs few calls.
+/// The interval grows to this fraction of the silence, so that a permanently lost data centre costs few
+/// calls.
 const READ_INTERVAL_DIVISOR: u32 = 20;
-/// A data centre that is silent for so long may be cut off; its hosts send each 1.8 s.
+/// A data centre that has been silent for longer may be cut off. Its hosts send every 1.8 s.
 const SILENCE_MIN: Duration = Duration::from_secs(4);
-/// Crashes from which on a content is written.
+/// The fewest crashes for which a content is written while no data centre is silent.
 const WRITE_CRASHES_MIN: usize = 2;
-/// Contents that are written in one round, so that a burst leaves the log its writes for others.
+/// The most contents written in one round, so that a burst leaves the log capacity for other writers.
 const WRITES_PER_ROUND_MAX: usize = 4;
-/// A record so old holds nothing back any more: a request is held back for 6 hours at most.
+/// Records are removed after this time, when they hold nothing back: a request is held back for at most 6
+/// hours.
 const RECORD_TTL: Duration = Duration::from_secs(24 * 60 * 60);
-/// Records that are removed in one reading.
+/// The most records removed in one read.
 const REMOVALS_PER_READ_MAX: usize = 4;
 
-/// What a record of the topic holds.
+/// The value of a record of the topic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredSuspect {
-    /// The content, in hexadecimal digits.
+    /// The fingerprint of the content, in hexadecimal.
     fingerprint: String,
-    /// The upstreams that crashed, each with the wall-clock time in Unix milliseconds.
+    /// The upstreams that crashed, each with the wall-clock time of its crash in Unix milliseconds.
     crashes: Vec<(InstanceKey, u64)>,
-    /// When the content was last answered in whole.
+    /// The wall-clock time of the last complete answer, in Unix milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     answered_ms: Option<u64>,
 }
@@ -71,7 +73,7 @@
     }
 
     fn to_announced(&self, now_ms: u64) -> Result<AnnouncedSuspect> {
-        // What seems to come from the future is of now: clocks of hosts differ.
+        // Host clocks differ: a time in the future counts as now.
         let ago = |at: u64| u32::try_from(now_ms.saturating_sub(at)).unwrap_or(u32::MAX);
         let crashes = self.crashes.iter();
         Ok(AnnouncedSuspect {
@@ -90,7 +92,7 @@
     }
 }
 
-/// Writes and reads for ever.
+/// Writes new evidence and reads that of other hosts. Never returns.
 pub async fn run(shared: Shared) {
     let mut client = OwnClient::new(shared.settings().log_address);
     let mut unwritten: Vec<Fingerprint> = Vec::new();
@@ -106,7 +108,7 @@
     }
 }
 
-/// When the topic is read.
+/// Decides when the topic is read.
 #[derive(Debug, Default)]
 struct ReadSchedule {
     has_read: bool,
@@ -114,7 +116,7 @@
 }
 
 impl ReadSchedule {
-    /// `silence` is that of another data centre that may be cut off.
+    /// Whether a read is due, given the silence of another data centre that may be cut off.
     fn is_due(&self, now: Instant, silence: Option<Duration>) -> bool {
         let is_wanted = silence.is_some() || !self.has_read;
         let interval = READ_INTERVAL_MIN.max(silence.unwrap_or_default() / READ_INTERVAL_DIVISOR);
@@ -128,19 +130,21 @@
     }
 }
 
-/// Whether this host reads the topic for those that hear it: the one that reads what operators publish.
+/// Whether this host reads the topic for its peers. The host that reads the operators' topic also reads
+/// this one.
 fn is_reader(shared: &Shared) -> bool {
     shared.is_reading(Topic::Operator)
 }
 
-/// For how long a data centre has been silent, whose hosts may know of crashes that this one can't hear of.
+/// The longest silence of another data centre, if it may be cut off and know of crashes that this host
+/// doesn't.
 fn longest_silence(shared: &Shared) -> Option<Duration> {
     let now = shared.now();
     let silence = shared.peers(|peers| peers.longest_silence_outside(now));
     silence.filter(|silence| *silence > SILENCE_MIN)
 }
 
-/// Writes what this host saw of late; what can't be written is tried again.
+/// Writes the evidence that this host has gathered. Failed writes are retried in a later round.
 async fn write_pending(shared: &Shared, client: &mut OwnClient, unwritten: &mut Vec<Fingerprint>) {
     let crashes_min = match longest_silence(shared) {
         Some(_) => 1,
@@ -157,7 +161,7 @@
             continue;
         };
         if let Err(error) = write(shared, client, &suspect).await {
-            log::debug!("writing a suspect: {error}");
+            log::debug!("failed to write a suspect to the log: {error}");
             unwritten.push(fingerprint);
         }
     }
@@ -170,12 +174,13 @@
     append(shared, client, Topic::Suspects, &key, &value).await
 }
 
-/// Takes what other hosts have written, and removes what is old; whether the log answered.
+/// Merges the evidence that other hosts have written and removes expired records. Returns whether the log
+/// answered.
 async fn read_topic(shared: &Shared, client: &mut OwnClient) -> bool {
     let records = match newest(shared, client, Topic::Suspects, CALL_TIMEOUT).await {
         Ok((records, _)) => records,
         Err(error) => {
-            log::debug!("reading suspects: {error:?}");
+            log::debug!("failed to read suspects from the log: {error:?}");
             return false;
         }
     };
@@ -203,12 +208,13 @@
     shared.hear_suspects("log", &announced);
     for key in expired.into_iter().take(REMOVALS_PER_READ_MAX) {
         if let Err(error) = append(shared, client, Topic::Suspects, key, &[]).await {
-            log::debug!("removing a suspect: {error}");
+            log::debug!("failed to remove an expired suspect from the log: {error}");
         }
     }
     true
 }
 
+/// Decodes a record's value; none if the record was removed.
 fn decode(record: &Record) -> Result<Option<StoredSuspect>> {
     let value = record.value.as_deref();
     Ok(value.map(serde_json::from_slice).transpose()?)
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -1,13 +1,13 @@
-//! Requests under which upstreams crashed, by the fingerprint of their content.
+//! Requests that crashed upstreams, by the fingerprint of their content.
 //!
-//! A request that crashes what runs it is sent again by its caller, under another id and to any host. Each
-//! crash takes the work beside it along, so after [`CRASHES_MAX`] of them hosts hold such a request back. Hosts
-//! tell each other of every crash: evidence is a set of instances, which merges in any order and counts
-//! none twice, whoever saw its end.
+//! A caller sends a request that crashed its upstream again, under another id and to any host. Each crash
+//! also ends the other work of that upstream, so hosts hold such a request back after [`CRASHES_MAX`]
+//! crashes. Hosts announce every crash to each other. The evidence is a set of instances, which merges in
+//! any order and counts a crash once, whichever hosts saw it.
 //!
-//! An upstream whose connection broke is taken for crashed until it answers a later request, or is still listed
-//! when a crashed one would have lapsed; so a reset connection is held against nobody for long. A content that is
-//! answered in whole is cleared of all crashes before.
+//! An upstream whose connection broke counts as crashed until it answers a later request, or is still
+//! listed when the entry of a crashed one would have lapsed, so a reset connection doesn't count as a crash
+//! for long. A complete answer clears a content of all earlier crashes.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -34,38 +34,41 @@
 pub use self::suspect::CRASHES_MAX;
 pub use self::suspect::Verdict;
 
-/// An upstream that is listed so long after its connection broke has not crashed: entries lapse after three
-/// heartbeats, 3.6 s on the users' deployments, and are read within a second. Without this a request whose
-/// connections living upstreams had reset three times was refused for good in 4 plays of 6 in which nothing else
-/// was answered.
+/// An upstream that is still listed this long after its connection broke has not crashed: entries lapse
+/// after three heartbeats, 3.6 s on the users' deployments, and are read within a second. Without this
+/// rule, a request whose connections live upstreams had reset three times was refused for good in 4 of 6
+/// replays in which nothing else was answered.
 const STALE_LISTING_MAX: Duration = Duration::from_secs(6);
-/// Requests that are remembered, some 200 bytes each; those with the fewest and oldest crashes go first.
+/// Contents to remember, some 200 bytes each. Those with the fewest and oldest crashes are evicted first.
 const SUSPECTS_MAX: usize = 4_096;
+
 /// The suspects that a host knows.
 #[derive(Debug, Default)]
 pub struct Suspects {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// When upstreams that are recorded as crashed were last known to be alive.
+    /// When each upstream recorded as crashed was last known to be alive.
     alive_at: HashMap<InstanceKey, Time>,
-    /// The last ones that were told in turn.
+    /// The suspect with several crashes that was last announced in rotation.
     last_repeated: Option<Fingerprint>,
+    /// The other suspect that was last announced in rotation.
     last_single: Option<Fingerprint>,
     rotated_at: Option<Time>,
-    /// Since when this host has known without a gap which upstreams are listed.
+    /// Since when this host's list of upstreams has been fresh without a gap.
     listing_fresh_since: Option<Time>,
 }
 
-/// Which upstreams a host knows to be listed and reachable.
+/// The upstreams that a host knows to be listed and reachable.
 #[derive(Debug)]
 pub enum ListedUpstreams {
-    /// Its view may be old.
+    /// The list may be stale.
     Unknown,
-    /// These.
+    /// The list is fresh.
     Fresh(HashSet<InstanceKey>),
 }
 
 impl Suspects {
-    /// The connection to `upstream` broke while it ran a request. The new standing, if that is news.
+    /// Records that the connection to `upstream` broke while it ran a request. Returns the new assessment
+    /// if the crash was not known.
     pub fn record_crash(
         &mut self,
         now: Time,
@@ -87,7 +90,8 @@
         self.assess(now, fingerprint)
     }
 
-    /// An upstream answered such a request in whole. Its standing before, if it was a suspect.
+    /// Records a complete answer to a request. Returns the assessment before it, if the content was a
+    /// suspect.
     pub fn record_answer(&mut self, now: Time, fingerprint: Fingerprint) -> Option<Assessment> {
         let before = self.assess(now, fingerprint);
         self.clear_before(fingerprint, now);
@@ -99,7 +103,7 @@
         before
     }
 
-    /// `upstream` answered a request that was sent at `sent_at`: it had not crashed before.
+    /// Records that `upstream` answered a request sent at `sent_at`, so it had not crashed before that.
     pub fn record_alive(&mut self, sent_at: Time, upstream: &InstanceId) {
         if self.alive_at.is_empty() {
             return;
@@ -110,12 +114,12 @@
         }
     }
 
-    /// Whether nothing is remembered, of requests or of upstreams.
+    /// Whether nothing is recorded of any content or upstream.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.alive_at.is_empty()
     }
 
-    /// Takes back the crashes of what is listed though it would have lapsed if it had crashed.
+    /// Retracts crashes of upstreams that have stayed listed for longer than a crashed one would.
     pub fn check_listed(&mut self, now: Time, listed: &ListedUpstreams) {
         let ListedUpstreams::Fresh(listed) = listed else {
             self.listing_fresh_since = None;
@@ -138,12 +142,12 @@
         }
     }
 
-    /// What is believed of a content; none if nothing is known against it.
+    /// The assessment of a content; none if no crash is known.
     pub fn assess(&self, now: Time, fingerprint: Fingerprint) -> Option<Assessment> {
         self.suspects.get(&fingerprint)?.assess(now)
     }
 
-    /// Begins the trial of a content; false while another one may be under way here.
+    /// Begins the trial of a content. Returns false while another trial may be running on this host.
     pub fn begin_trial(&mut self, now: Time, fingerprint: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
@@ -156,7 +160,7 @@
         is_free
     }
 
-    /// Takes what another host tells. The contents whose standing it changed.
+    /// Merges suspects that another host announced. Returns the contents whose assessment changed.
     pub fn merge(
         &mut self,
         now: Time,
@@ -166,15 +170,15 @@
         for suspect in announced {
             let fingerprint = suspect.fingerprint;
             let answered_at = suspect.answered_ms_ago.map(|ms| time_before(now, ms));
-            let mut is_news = answered_at.is_some_and(|at| self.clear_before(fingerprint, at));
+            let mut is_new = answered_at.is_some_and(|at| self.clear_before(fingerprint, at));
             for (upstream, ms) in suspect.crashes.iter().take(CRASHES_KEPT_MAX) {
                 let crash = Crash {
                     upstream: *upstream,
                     at: time_before(now, *ms),
                 };
-                is_news |= self.add_crash(fingerprint, crash);
+                is_new |= self.add_crash(fingerprint, crash);
             }
-            if is_news {
+            if is_new {
                 self.schedule_relay(fingerprint);
                 let assessment = self.assess(now, fingerprint);
                 changed.extend(assessment.map(|assessment| (fingerprint, assessment)));
@@ -183,8 +187,8 @@
         changed
     }
 
-    /// What this host saw of contents under which at least `crashes_min` upstreams crashed, or that were
-    /// cleared of that, since the last call.
+    /// Takes the contents whose last change this host saw and has not yet written to the platform's log:
+    /// those with at least `crashes_min` crashes, and those that were cleared.
     pub fn take_unwritten(&mut self, crashes_min: usize) -> Vec<Fingerprint> {
         let mut taken = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
@@ -197,14 +201,14 @@
         taken
     }
 
-    /// What was written to the log may be lost.
+    /// Marks what this host observed as unwritten, because the log may have lost it.
     pub fn mark_unwritten(&mut self) {
         for suspect in self.suspects.values_mut() {
             suspect.is_unwritten |= suspect.observed_at.is_some();
         }
     }
 
-    /// Forgets what is too old to matter.
+    /// Drops evidence that has expired.
     pub fn expire(&mut self, now: Time) {
         self.suspects
             .retain(|_, suspect| now.since(suspect.last_change()) < suspect.ttl());
@@ -217,7 +221,7 @@
         });
     }
 
-    /// Contents that are held back, and all that are remembered.
+    /// The number of contents held back, and of all contents recorded.
     pub fn count(&self, now: Time) -> (usize, usize) {
         let fingerprints = self.suspects.keys();
         let held_back = fingerprints.filter(|fingerprint| {
@@ -227,7 +231,7 @@
         (held_back.count(), self.suspects.len())
     }
 
-    /// Takes back that `upstream` crashed before `alive_at`.
+    /// Retracts crashes of `upstream` before `alive_at`.
     fn retract(&mut self, upstream: InstanceKey, alive_at: Time) {
         let known = self.alive_at.entry(upstream).or_insert(alive_at);
         *known = (*known).max(alive_at);
@@ -238,7 +242,7 @@
         self.suspects.retain(|_, suspect| !suspect.is_empty());
     }
 
-    /// Adds a crash to what is known; true if it is news.
+    /// Adds a crash. Returns whether it was not known.
     fn add_crash(&mut self, fingerprint: Fingerprint, crash: Crash) -> bool {
         let alive_at = *self.alive_at.entry(crash.upstream).or_insert(Time::ZERO);
         if alive_at > crash.at {
@@ -254,7 +258,8 @@
         suspect.add_crash(crash)
     }
 
-    /// Tells on what was heard, if it matters to whoever is sent the next repeat.
+    /// Schedules a relayed announcement of a content with several crashes. The host that gets the next
+    /// repeat needs to know of it.
     fn schedule_relay(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint)
             && suspect.is_repeated()
@@ -263,7 +268,7 @@
         }
     }
 
-    /// Takes back all crashes before an answer; true if there were any.
+    /// Clears all crashes before an answer. Returns whether there were any.
     fn clear_before(&mut self, fingerprint: Fingerprint, answered_at: Time) -> bool {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return false;
@@ -271,13 +276,14 @@
         let known = suspect.crashes.len();
         suspect.crashes.retain(|crash| crash.at >= answered_at);
         suspect.answered_at = suspect.answered_at.max(Some(answered_at));
-        let is_news = suspect.crashes.len() < known;
-        if is_news {
+        let is_new = suspect.crashes.len() < known;
+        if is_new {
             suspect.announcements_left = RELAYED_ANNOUNCEMENTS;
         }
-        is_news
+        is_new
     }
 
+    /// Evicts the content with the fewest and oldest crashes if the table is full.
     fn evict_if_full(&mut self) {
         if self.suspects.len() < SUSPECTS_MAX {
             return;
@@ -292,6 +298,7 @@
     }
 }
 
+/// The time `ms` before `now`, and zero at the earliest.
 fn time_before(now: Time, ms: u32) -> Time {
     Time::from_us(now.as_us().saturating_sub(u64::from(ms) * 1_000))
 }
--- a/src/gateway/suspects/announce.rs
+++ b/src/gateway/suspects/announce.rs
@@ -1,4 +1,4 @@
-//! Which suspects a host tells the others of, and when.
+//! Selects the suspects that a host announces to its peers.
 
 use std::ops::Bound;
 use std::time::Duration;
@@ -12,33 +12,33 @@
 use crate::fingerprint::Fingerprint;
 use crate::gateway::instance::InstanceKey;
 
-/// So many datagrams tell of what a host saw itself: one in ten may be lost.
+/// Datagrams in which a host announces a change that it saw itself. One datagram in ten may be lost.
 pub(super) const OWN_ANNOUNCEMENTS: u8 = 5;
-/// So many tell of a repeated crash that it heard of, beside those of the host that saw it.
+/// Datagrams in which a host relays a change, beside those of the host that saw it.
 pub(super) const RELAYED_ANNOUNCEMENTS: u8 = 1;
-/// Such news in one datagram, at most 100 bytes each.
+/// The most changes in one datagram, of at most 100 bytes each.
 pub(super) const CHANGES_MAX: usize = 6;
-/// Between two datagrams that tell of older suspects in turn, for hosts that joined or were cut off: hosts
-/// with much to do send a datagram each 10 ms.
+/// The shortest interval between datagrams that also carry older suspects, in rotation, for hosts that
+/// joined or were cut off. Busy hosts send a datagram every 10 ms.
 const ROTATION_INTERVAL: Duration = Duration::from_millis(250);
-/// Older suspects that such a datagram tells of: requests under which several upstreams crashed,
+/// Older suspects with several crashes in such a datagram.
 const ROTATED_REPEATED_MAX: usize = 3;
-/// and those with a single crash.
+/// Older suspects with at most one crash in such a datagram.
 const ROTATED_SINGLE_MAX: usize = 1;
 
-/// What a host tells of one content.
+/// The evidence against one content, as a host announces it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedSuspect {
-    /// The content.
+    /// The fingerprint of the content.
     pub fingerprint: Fingerprint,
-    /// The upstreams that crashed, each with the time since then in milliseconds.
+    /// The upstreams that crashed, each with the time since its crash in milliseconds.
     pub crashes: Vec<(InstanceKey, u32)>,
-    /// Time since it was last answered in whole, in milliseconds.
+    /// Time since the last complete answer, in milliseconds.
     pub answered_ms_ago: Option<u32>,
 }
 
 impl Suspects {
-    /// What this host tells with its next datagram: its news, and from time to time older suspects in turn.
+    /// The suspects for the next datagram: recent changes and, at intervals, older suspects in rotation.
     pub fn announce(&mut self, now: Time) -> Vec<AnnouncedSuspect> {
         let mut announced: Vec<Fingerprint> = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
@@ -58,7 +58,7 @@
             .collect()
     }
 
-    /// The suspects under which this host saw an upstream crash after `since`.
+    /// The suspects that this host saw crash an upstream after `since`.
     pub fn observed_since(&self, now: Time, since: Time) -> Vec<AnnouncedSuspect> {
         let suspects = self.suspects.iter();
         let observed = suspects
@@ -69,6 +69,7 @@
             .collect()
     }
 
+    /// The next older suspects in rotation; none if the interval has not passed.
     fn next_rotation(&mut self, now: Time) -> Vec<Fingerprint> {
         let last = self.rotated_at;
         if last.is_some_and(|last| now.since(last) < ROTATION_INTERVAL) {
@@ -87,7 +88,7 @@
         next
     }
 
-    /// The next `count` suspects behind `last` that `matches` says, in a circle.
+    /// The next `count` suspects after `last` for which `matches` holds, wrapping around at the end.
     fn next_matching(
         &self,
         last: Option<Fingerprint>,
@@ -105,7 +106,7 @@
             .collect()
     }
 
-    /// What this host knows of a content, for others.
+    /// The evidence that this host has against a content, in the form for peers.
     pub fn snapshot(&self, now: Time, fingerprint: Fingerprint) -> Option<AnnouncedSuspect> {
         let suspect = self.suspects.get(&fingerprint)?;
         let crashes = suspect.crashes.iter();
--- a/src/gateway/suspects/suspect.rs
+++ b/src/gateway/suspects/suspect.rs
@@ -1,71 +1,72 @@
-//! What is known of the requests with one content, and what it means.
+//! Evidence against the requests with one content, and its assessment.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 use crate::gateway::instance::InstanceKey;
 
-/// Crashes after which a request is held back. One or two beside crashes of other causes happen to
-/// requests that callers repeat; three without an answer in between don't.
+/// Crashes after which a request is held back. A harmless request that its caller repeats may meet one or two
+/// crashes of other causes, but not three without an answer in between.
 pub const CRASHES_MAX: usize = 3;
-/// A request is held back for this long after its last crash, and then tried by one host. Three upstreams
-/// that ran a harmless request may have been lost together, and nobody runs it any more who could clear it.
+/// How long a request is held back after its third crash. Then one host tries it: three upstreams that ran a
+/// harmless request may have been lost together, and a request that is never run is never cleared.
 pub(super) const HELD_BACK_MIN: Duration = Duration::from_secs(15);
-/// So many times longer after each further crash: 15 s, 2 min, 16 min, 2.1 h,
+/// The factor by which each further crash lengthens the time: 15 s, 2 min, 16 min, 2.1 h.
 const HELD_BACK_FACTOR: u32 = 8;
-/// and no longer than this, so that a request whose cause was mended comes through.
+/// The longest time for which a request is held back, so that it is served again once its cause is fixed.
 pub(super) const HELD_BACK_MAX: Duration = Duration::from_secs(6 * 60 * 60);
-/// A trial that neither crashed its upstream nor was answered in this time was none.
+/// Another trial may begin if the last one has neither crashed its upstream nor been answered within this
+/// time.
 pub(super) const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Evidence is forgotten after this time, if it holds nothing back.
+/// How long evidence that holds no request back is kept.
 pub(super) const EVIDENCE_TTL: Duration = Duration::from_secs(600);
-/// Crashes that are kept of one request; the time for which it is held back grows no further.
+/// Crashes kept per content. More of them don't lengthen the time for which it is held back.
 pub(super) const CRASHES_KEPT_MAX: usize = 8;
 
-/// An upstream that ended while it ran a request.
+/// The crash of an upstream while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Crash {
     pub(super) upstream: InstanceKey,
     pub(super) at: Time,
 }
 
-/// What is known of the requests with one content.
+/// Evidence against the requests with one content.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Suspect {
     pub(super) crashes: Vec<Crash>,
     pub(super) answered_at: Option<Time>,
-    /// When this host last saw an upstream crash under it.
+    /// When this host itself last saw this content crash an upstream.
     pub(super) observed_at: Option<Time>,
-    /// Datagrams that will tell of its last change.
+    /// Datagrams left in which to announce the last change.
     pub(super) announcements_left: u8,
-    /// When this host last let one through as a trial.
+    /// When this host last began a trial.
     pub(super) trial_at: Option<Time>,
-    /// Whether this host saw something that may have to be written to the platform's log.
+    /// Whether this host saw a change that may have to be written to the platform's log.
     pub(super) is_unwritten: bool,
 }
 
-/// What is believed of a request's content.
+/// The conclusion from the evidence against a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assessment {
-    /// Upstreams that crashed under it since it was last answered.
+    /// Upstreams that it crashed since it was last answered.
     pub crashes: usize,
-    /// Whether it may be sent.
+    /// Whether its requests may be sent.
     pub verdict: Verdict,
 }
 
 /// Whether requests of one content may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// They may.
+    /// They may be sent.
     Allowed,
-    /// They are held back, for so long at least.
+    /// They are held back, for at least this long.
     HeldBack(Duration),
-    /// They were held back for long enough that one of them is tried.
+    /// One of them may be sent as a trial; the time to hold them back is over.
     Trial,
 }
 
 impl Suspect {
-    /// What is believed of its content; none if nothing is known against it.
+    /// The assessment of the content; none if no crash is known.
     pub(super) fn assess(&self, now: Time) -> Option<Assessment> {
         let last = self.last_crash()?;
         let left = self.held_back_time().saturating_sub(now.since(last));
@@ -80,11 +81,13 @@
         })
     }
 
-    /// Keeps the latest crashes. True if this is one that was not known.
+    /// Adds a crash, and keeps the latest [`CRASHES_KEPT_MAX`]. Returns whether the crash was not known and
+    /// is kept.
     pub(super) fn add_crash(&mut self, crash: Crash) -> bool {
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|known| known.upstream == crash.upstream) {
-            // Who hears of it late, or has started meanwhile, takes it for younger than it is.
+            // A host that learns of a crash late, or has started since, dates it too late: keep the
+            // earliest time.
             known.at = known.at.min(crash.at);
             return false;
         }
@@ -105,7 +108,7 @@
         last.unwrap_or(Time::ZERO)
     }
 
-    /// For how long it is held back after its last crash.
+    /// How long the content is held back after its last crash.
     fn held_back_time(&self) -> Duration {
         let Some(further) = self.crashes.len().checked_sub(CRASHES_MAX) else {
             return Duration::ZERO;
@@ -115,20 +118,22 @@
         longer.min(HELD_BACK_MAX)
     }
 
-    /// Once it is let through again, it is remembered for as long as it was held back.
+    /// How long the evidence is kept. Once a content is no longer held back, for as long as it was held back.
     pub(super) fn ttl(&self) -> Duration {
         EVIDENCE_TTL.max(self.held_back_time() * 2)
     }
 
+    /// Whether several crashes are known.
     pub(super) fn is_repeated(&self) -> bool {
         self.crashes.len() > 1
     }
 
+    /// Whether at most one crash is known.
     pub(super) fn is_single(&self) -> bool {
         !self.is_repeated()
     }
 
-    /// Whether nothing is left to be told of it.
+    /// Whether neither a crash nor an answer is known.
     pub(super) fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.answered_at.is_none()
     }
--- a/src/gateway/suspects/tests.rs
+++ b/src/gateway/suspects/tests.rs
@@ -42,7 +42,7 @@
     InstanceId::from(UpstreamId::new(format!("up-{number}")))
 }
 
-/// A host that saw `crashes` upstreams crash under content 0, one a second.
+/// A host that saw content 0 crash `crashes` upstreams, one per second.
 fn with_crashes(crashes: usize) -> Suspects {
     let mut suspects = Suspects::default();
     for number in 0..crashes {
@@ -144,7 +144,7 @@
     suspects.record_answer(at(5_000), content(0));
     let announced = suspects.announce(at(5_001));
     other.merge(at(5_002), &announced);
-    // Who has not heard yet tells of the crashes before.
+    // A host that doesn't know of the answer yet still announces the earlier crashes.
     suspects.merge(at(5_003), &with_crashes(CRASHES_MAX).announce(at(5_003)));
 
     assert!(!is_held_back(&suspects, at(5_004), 0));
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How long a fleet takes until all of it holds back a request, in virtual time.
+//! Simulates how long it takes until every host of a fleet holds a request back.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
 use crate::gateway::gossip::interval_among;
 use crate::gateway::peers::FAR_PARTNERS;
 
-/// One datagram in ten is lost.
+/// The share of datagrams that are lost.
 const LOSS_RATE: f64 = 0.1;
-/// Hosts of each other data centre that a host knows at least.
+/// The fewest hosts of each other data centre that a host knows.
 const FAR_HOSTS_KNOWN: usize = 4;
-/// All hosts know within this time: a host is held to what others know 3 s after the last crash.
+/// Every host must act on the crashes that others know of within 3 s of the last one.
 const HOLD_BACK_BOUND: Duration = Duration::from_millis(3_000);
-/// The step of the model's time.
+/// The step of virtual time.
 const STEP: Duration = Duration::from_millis(50);
 
 struct Host {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The hosts of a data centre: those whose numbers leave the same rest.
+    /// The hosts of a data centre. Hosts are assigned to data centres by their index, round robin.
     fn hosts_in(&self, data_centre: usize) -> Vec<usize> {
         let hosts = 0..self.hosts.len();
         hosts
@@ -72,7 +72,8 @@
         }
     }
 
-    /// A host sees an upstream crash and tells all whom it knows at once: its data centre and some of each other.
+    /// A host sees an upstream crash and at once announces it to all hosts it knows: all of its own data
+    /// centre and some of each other one.
     fn crash(&mut self, now: Time, host: usize, crashed: usize) {
         let suspects = &mut self.hosts[host].suspects;
         suspects.record_crash(now, content(0), &upstream(crashed));
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Sends the datagrams that are due, to the host's own data centre and to the others.
     fn send_due(&mut self, now: Time, host: usize) {
         let here = host % self.data_centres;
         let near = self.hosts_in(here);
@@ -108,11 +110,11 @@
         }
     }
 
-    /// Time from the last crash until all hosts hold the request back.
+    /// The time from the last crash until all hosts hold the request back.
     fn time_until_all_hold_back(&mut self) -> Duration {
         let count = self.hosts.len();
         for crashed in 0..CRASHES_MAX {
-            // Each by a host of another data centre.
+            // Hosts of different data centres see the crashes.
             self.crash(at(crashed as u64), crashed % count, crashed);
         }
         let last = at(CRASHES_MAX as u64);
