--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -34,7 +34,7 @@
 /// The shortest interval between reads while other data centres are silent, and before a failed read is
 /// retried. With the time of a call it stays below the 3 s within which a host must know of crashes.
 const READ_INTERVAL_MIN: Duration = Duration::from_secs(2);
-/// The interval grows to this fraction of the silence, so that a permanently lost data centre costs few
+/// The interval is at least the silence divided by this, so that a permanently lost data centre costs few
 /// calls.
 const READ_INTERVAL_DIVISOR: u32 = 20;
 /// A data centre that has been silent for longer may be cut off. Its hosts send every 1.8 s.
--- a/src/gateway/suspectlog/tests.rs
+++ b/src/gateway/suspectlog/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn unreadable_and_removed_records_are_told_apart() {
+fn unreadable_and_removed_records_are_distinguished() {
     let unreadable = [&b""[..], b"{}", b"host-1", b"[1, 2", &[0xff, 0xfe]];
     let mut wrong = StoredSuspect::new(&suspect(), NOW_MS);
     wrong.fingerprint = "xyz".to_owned();
--- a/tests/crashingrequests/mod.rs
+++ b/tests/crashingrequests/mod.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams crash, sent again and again to any host.
+//! Requests that crash upstreams and that their callers repeat at any host.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,18 +23,18 @@
 const CRASHING_BODY: &str = "exhausts the memory";
 const HOSTS: usize = 4;
 const UPSTREAMS: usize = 6;
-/// A host is in touch again, and held to what others know, so long after a disturbance.
+/// Every host must act on what its peers know within this time of a disturbance.
 const PROPAGATION_MAX: Duration = Duration::from_secs(3);
-/// Retries of a request under which three upstreams have crashed that may still be sent.
+/// The most repeats of a request with three known crashes that may still be sent.
 const RETRIES_MAX: usize = 3;
-/// Upstreams that have crashed under a request before it is known for it.
+/// Crashes after which a request must be held back.
 const CRASH_THRESHOLD: usize = 3;
-/// Longer than the route's own timeout: a caller that comes back is another one for the upstreams.
+/// Longer than the route's timeout, so that upstreams take a repeat for a request of another caller.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(5);
-/// Repeats after everybody has had time to hear.
+/// Repeats sent after all hosts have had time to learn of the crashes.
 const REPEATS: usize = 40;
 
-/// Upstreams that crash under one request, each replaced by another instance.
+/// Upstreams that one request crashes. Each crashed upstream is replaced by a new one.
 struct Pool {
     log: FakeLog,
     behaviour: Behaviour,
@@ -68,7 +68,7 @@
         self.listed.push(upstream);
     }
 
-    /// Replaces those that have crashed; returns how many have in all.
+    /// Replaces crashed upstreams. Returns the number of crashes so far.
     fn replace_crashed(&mut self) -> usize {
         let (crashed, alive): (Vec<_>, Vec<_>) =
             self.listed.drain(..).partition(FakeUpstream::is_dead);
@@ -82,7 +82,7 @@
     }
 }
 
-/// Hosts that serve by a pool of upstreams, and a caller who sends to them in turn.
+/// Hosts with a pool of upstreams, and a caller that sends to the hosts in turn.
 struct Deployment {
     hosts: Vec<World>,
     pool: Pool,
@@ -109,7 +109,7 @@
         deployment
     }
 
-    /// Sends the deadly request to the next host, whatever becomes of it.
+    /// Sends the crashing request to the next host and ignores the outcome.
     fn send_crashing(&mut self) -> Answer {
         let host = &self.hosts[self.sent % self.hosts.len()];
         self.sent += 1;
@@ -118,20 +118,20 @@
         answer
     }
 
-    /// The status of another request at a host.
+    /// Sends a harmless request to a host. Returns the status.
     fn send_harmless(&self, host: usize) -> u16 {
         let host = &self.hosts[host];
         ask(host.callers(), &post("/nets/7", "", "tighten")).status
     }
 
-    /// Sends it until enough upstreams have crashed, and on until everybody must have heard.
+    /// Sends the crashing request until enough upstreams have crashed, and until all hosts must know of it.
     fn crash_until_known(&mut self) {
         let started = Instant::now();
         while self.pool.crashed < CRASH_THRESHOLD {
             self.send_crashing();
             assert!(
                 started.elapsed() < PROPAGATION_MAX * 3,
-                "the request ends nothing"
+                "the request crashes no upstream"
             );
         }
         let known_by_all = Instant::now() + PROPAGATION_MAX;
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Stops all hosts and starts as many others, which know nothing but the log.
+    /// Replaces all hosts by new ones, whose only source of evidence is the log.
     fn restart_hosts(&mut self) {
         self.hosts.clear();
         self.hosts = World::start_fleet_at(&self.pool.log, HOSTS);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Upstreams that crash under repeats from now on.
+    /// Repeats the crashing request. Returns the number of upstreams that crash.
     fn crashes_under_repeats(&mut self) -> usize {
         let before = self.pool.crashed;
         for _ in 0..REPEATS {
@@ -163,7 +163,7 @@
     }
 }
 
-/// Upstreams that crash under repeats once a request is known for it.
+/// The number of upstreams that repeats of a request crash once all hosts know of its crashes.
 fn crashes_once_known(kind: &str, behaviour: Behaviour, death: Death) -> usize {
     let mut deployment = Deployment::start(kind, behaviour, death);
     deployment.crash_until_known();
@@ -177,10 +177,10 @@
     hold_after: None,
 };
 
-// A stream whose content crashed each engine that began to run it was sent again and again by its caller, each time
-// under a new id and at any host. The hosts held each crash against the engine alone, which was gone anyway, and placed the next
-// repeat like any other request: 7, 7 and 13 engines were lost in three series. In the lines of 14 losses exactly one
-// stream of one kind broke before its first event each time.
+// Guards against crashes that are recorded for the engine alone. A caller repeated a stream that crashed
+// each engine, under a new id and at any host, and hosts placed each repeat like any other request: 7, 7
+// and 13 engines were lost in three series. In the log entries of 14 losses, exactly one stream of one kind
+// broke each time, before its first event.
 #[test]
 fn a_stream_that_crashes_upstreams_is_held_back_at_all_hosts() {
     let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
@@ -215,8 +215,8 @@
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
 
-// Evidence lived in the hosts' memory alone: each time that all of them were lost, three more upstreams crashed under
-// a request that had been held back (6 after two losses, where 3 may be sent in all).
+// Guards against evidence that is kept in the hosts' memory alone: each loss of all hosts let a request
+// that had been held back crash three more upstreams (6 after two losses, where 3 are allowed in all).
 #[test]
 fn requests_stay_held_back_after_all_hosts_are_lost_twice() {
     let mut deployment = Deployment::start("stream", HEALTHY_STREAM, Death::AfterHead);
@@ -263,8 +263,9 @@
     assert!(crashes <= RETRIES_MAX, "{crashes} crashed");
 }
 
-// Three resets by living upstreams look like three crashes until one of them answers something, or is still listed
-// when a crashed one would be gone. Where every request met resets first, nothing was answered any more.
+// Guards against requests that are held back for good after resets. Three resets by live upstreams look
+// like three crashes until one of the upstreams answers a request, or is still listed when a crashed one
+// would be gone. Where every request met resets first, no request was answered any more.
 #[test]
 fn a_request_whose_connections_healthy_upstreams_reset_is_served() {
     let behaviours = [Behaviour::Close, Behaviour::Close, HEALTHY];
--- a/tests/evacuation/mod.rs
+++ b/tests/evacuation/mod.rs
@@ -1,4 +1,4 @@
-//! Operators evacuate a data centre: its upstreams get no new work until it is taken back.
+//! Evacuation of a data centre by operators: its upstreams get no new work until the evacuation ends.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -23,16 +23,16 @@
 use crate::post;
 use crate::ran;
 
-/// An evacuation is in force on all hosts within this time, half of what is allowed.
+/// An evacuation takes effect on all hosts within this time, half of the 5 s allowed.
 const EVACUATE_WITHIN: Duration = Duration::from_millis(2_500);
-/// and its end within this time.
+/// The end of an evacuation takes effect on all hosts within this time.
 const RESTORE_WITHIN: Duration = Duration::from_secs(1);
-/// Requests that each host is sent to see where they go.
+/// Requests sent to each host to see which upstreams they reach.
 const REQUESTS_PER_HOST: usize = 10;
-/// So many hosts that a few read the log for all.
+/// Enough hosts that only some of them read the log and inform the others.
 const LARGE_FLEET_HOSTS: usize = 20;
 
-/// An upstream in the hosts' own data centre, which is preferred, and one in another.
+/// An upstream in the hosts' own data centre, which they prefer, and one in another.
 struct Upstreams {
     north: FakeUpstream,
     south: FakeUpstream,
@@ -62,7 +62,7 @@
     );
 }
 
-/// Hosts that serve by both upstreams.
+/// Hosts that are ready and serve requests by both upstreams.
 fn deployment(hosts: usize) -> (Vec<World>, Upstreams) {
     let fleet = World::start_fleet(hosts);
     let upstreams = Upstreams::start();
@@ -96,7 +96,8 @@
     }
 }
 
-/// Requests that reach `upstream` of those that the hosts are sent, [`EVACUATE_WITHIN`] from now on.
+/// Sends requests for [`EVACUATE_WITHIN`], then counts how many of [`REQUESTS_PER_HOST`] per host reach
+/// `upstream`.
 fn requests_after(hosts: &[World], upstream: &FakeUpstream) -> usize {
     send_requests_for(hosts, EVACUATE_WITHIN);
     let before = upstream.seen().len();
@@ -108,7 +109,7 @@
     upstream.seen().len() - before
 }
 
-/// Whether within [`RESTORE_WITHIN`] all hosts send to `upstream` again.
+/// Whether all hosts send to `upstream` again within [`RESTORE_WITHIN`].
 fn is_used_by_all(hosts: &[World], upstream: &FakeUpstream) -> bool {
     let ends = Instant::now() + RESTORE_WITHIN;
     hosts.iter().all(|host| {
@@ -123,8 +124,8 @@
     })
 }
 
-// Nothing read the operators' word on data centres: 352 requests of a day reached one that was evacuated, the first
-// 5,008 ms after the word was acknowledged, where 5,000 are allowed.
+// Guards against evacuation records that no host reads: in one day 352 requests reached an evacuated data
+// centre, the first 5,008 ms after the record was acknowledged, where 5,000 ms are allowed.
 #[test]
 fn an_evacuated_data_centre_gets_no_requests_until_it_is_restored() {
     let (hosts, upstreams) = deployment(4);
@@ -304,7 +305,7 @@
     assert_eq!(other.seen().len(), 1);
 }
 
-/// Whether `condition` comes to hold within `time`.
+/// Whether `condition` becomes true within `time`.
 fn wait_until_for(time: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let ends = Instant::now() + time;
     wait_until(|| condition() || Instant::now() >= ends);
--- a/tests/suspendedhost/mod.rs
+++ b/tests/suspendedhost/mod.rs
@@ -1,4 +1,5 @@
-//! A host that was suspended: its steady clock has not counted that time, and all that it believes is old.
+//! Suspension of a host: its steady clock doesn't count the time, and its view of upstreams and peers is
+//! stale.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,17 +19,17 @@
 use crate::get;
 use crate::ran;
 
-/// Longer than any bound on what a host believes.
+/// Longer than any bound on the age of a host's view.
 const SUSPENDED: Duration = Duration::from_secs(8);
-/// What a host that wakes finds out by itself, it finds out within this time.
+/// A resumed host detects by itself what changed within this time.
 const DETECT_WITHIN: Duration = Duration::from_secs(2);
 
 fn status(world: &World) -> u16 {
     ask(world.callers(), &get("/nets/7", "")).status
 }
 
-/// A host with one leaving upstream whose notice it missed, and a sound one; it has just woken, and its reads of
-/// the log are not answered yet.
+/// A host that has just resumed and whose reads of the log are not answered yet. One of its two upstreams
+/// is leaving, and the host missed the notice.
 fn resumed_host() -> (World, [FakeUpstream; 2]) {
     let healthy = [Behaviour::Answer(200, "sound")];
     let upstreams = ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &healthy));
@@ -39,8 +40,9 @@
     (world, upstreams)
 }
 
-// A host that was suspended for 8 s went on by what it believed before: a notice of that time was not known, and of the
-// requests that came before its next read half went to the upstream that had left.
+// Guards against a resumed host that acts on its old view: after 8 s of suspension it didn't know of a
+// leaving notice, and half of the requests before its next read of the log went to the upstream that had
+// left.
 #[test]
 fn nothing_is_sent_on_state_from_before_the_suspension() {
     let (world, upstreams) = resumed_host();
