--- a/tests/suspendedhost/mod.rs
+++ b/tests/suspendedhost/mod.rs
@@ -1,4 +1,5 @@
-//! A host that was suspended: its steady clock has not counted that time, and all that it believes is old.
+//! Suspension of a host: its steady clock doesn't count the time, and its view of upstreams and peers is
+//! stale.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,20 +19,20 @@
 use crate::get;
 use crate::ran;
 
-/// Longer than any bound on what a host believes.
+/// Longer than any bound on the age of a host's view.
 const SUSPENDED: Duration = Duration::from_secs(8);
-/// What a host that wakes finds out by itself, it finds out within this time.
-const FOUND_OUT: Duration = Duration::from_secs(2);
+/// A resumed host detects by itself what changed within this time.
+const DETECT_WITHIN: Duration = Duration::from_secs(2);
 
 fn status(world: &World) -> u16 {
     ask(world.callers(), &get("/nets/7", "")).status
 }
 
-/// A host with one leaving upstream whose notice it missed, and a sound one; it has just woken, and its reads of
-/// the log are not answered yet.
-fn woken() -> (World, [FakeUpstream; 2]) {
-    let sound = [Behaviour::Answer(200, "sound")];
-    let upstreams = ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &sound));
+/// A host that has just resumed and whose reads of the log are not answered yet. One of its two upstreams
+/// is leaving, and the host missed the notice.
+fn resumed_host() -> (World, [FakeUpstream; 2]) {
+    let healthy = [Behaviour::Answer(200, "sound")];
+    let upstreams = ["up-0", "up-1"].map(|id| FakeUpstream::start(id, &healthy));
     let world = World::serving(json!([route("once")]), &[&upstreams[0], &upstreams[1]]);
     world.log.set_silence(Silence::AllCalls);
     world.list(&upstreams[0], "leaving");
@@ -39,11 +40,12 @@
     (world, upstreams)
 }
 
-// A host that was suspended for 8 s went on by what it believed before: a notice of that time was not known, and of the
-// requests that came before its next read half went to the upstream that had left.
+// Guards against a resumed host that acts on its old view: after 8 s of suspension it didn't know of a
+// leaving notice, and half of the requests before its next read of the log went to the upstream that had
+// left.
 #[test]
-fn nothing_is_sent_on_the_word_of_before() {
-    let (world, upstreams) = woken();
+fn nothing_is_sent_on_state_from_before_the_suspension() {
+    let (world, upstreams) = resumed_host();
 
     let answers: Vec<_> = (0..4)
         .map(|_| ask(world.callers(), &get("/nets/7", "")))
@@ -58,8 +60,8 @@
 }
 
 #[test]
-fn a_host_that_woke_serves_as_soon_as_it_has_read_the_log() {
-    let (world, upstreams) = woken();
+fn a_resumed_host_serves_once_it_has_read_the_log() {
+    let (world, upstreams) = resumed_host();
     let was_ready = world.is_ready();
 
     world.log.set_silence(Silence::None);
@@ -73,15 +75,15 @@
 }
 
 #[test]
-fn a_host_that_woke_while_the_log_is_away_serves_by_what_it_knows_after_a_while() {
-    let (world, _upstreams) = woken();
+fn a_resumed_host_serves_on_known_state_while_the_log_is_down() {
+    let (world, _upstreams) = resumed_host();
     world.log.set_down(true);
 
     assert!(wait_until(|| status(&world) == 200));
 }
 
 #[test]
-fn a_stream_whose_callers_time_ran_out_meanwhile_is_ended() {
+fn a_stream_whose_deadline_passed_during_the_suspension_is_ended() {
     let holding = Behaviour::Events {
         to: 9,
         break_after: None,
@@ -93,16 +95,16 @@
     caller.send(get("/nets/7", "deadline-ms: 4000\r\n"));
     assert!(caller.read_until("id: 2"));
 
-    let woke = Instant::now();
+    let resumed = Instant::now();
     world.wake_after(SUSPENDED);
 
     let answer = caller.read();
     assert!(!answer.whole);
-    assert!(woke.elapsed() < FOUND_OUT, "{:?}", woke.elapsed());
+    assert!(resumed.elapsed() < DETECT_WITHIN, "{:?}", resumed.elapsed());
 }
 
 #[test]
-fn time_that_a_request_has_left_is_passed_on_less_the_suspension() {
+fn the_deadline_sent_upstream_is_not_extended_by_a_suspension() {
     let behaviours = [Behaviour::NotRun, Behaviour::Answer(200, "sound")];
     let upstream = FakeUpstream::start("up-0", &behaviours);
     let world = World::serving(json!([route("once")]), &[&upstream]);
