--- a/benches/slopes/fleet.rs
+++ b/benches/slopes/fleet.rs
@@ -15,7 +15,7 @@
 use cedargauge::gateway::instance::InstanceId;
 use cedargauge::gateway::loads::Load;
 use cedargauge::gateway::loads::Loads;
-use cedargauge::gateway::loads::Teller;
+use cedargauge::gateway::loads::ReportSource;
 use cedargauge::gateway::peers::Peers;
 use cedargauge::gateway::position::Position;
 use cedargauge::gateway::protocol::Topic;
@@ -108,9 +108,9 @@
 fn loads(hosts: usize) -> Loads {
     let mut loads = Loads::default();
     for index in 0..hosts {
-        let host = Teller::Host(HostId::new(format!("host-{index:04}")));
+        let host = ReportSource::Host(HostId::new(format!("host-{index:04}")));
         let told = (0..8).map(|run| (instance(index + run).key(), Load::default()));
-        loads.hear(Time::ZERO, host, told.collect());
+        loads.receive(Time::ZERO, host, told.collect());
     }
     loads
 }
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -167,7 +167,7 @@
 async fn attempt(front: &Front, admitted: &Admitted, upstream: &Upstream, last: bool) -> Attempted {
     let shared = &front.shared;
     shared.sends_to(upstream);
-    let _occupied = shared.loads().occupy(&upstream.id, 0, 0);
+    let _occupied = shared.loads().add_request(&upstream.id, 0, 0);
     let mut limit = admitted.time_left().saturating_sub(DEADLINE_MARGIN);
     if !last {
         limit = limit.min(admitted.route.objective * ATTEMPT_OBJECTIVES);
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -18,7 +18,7 @@
 use crate::gateway::datagram::decode;
 use crate::gateway::datagram::encode;
 use crate::gateway::directory::Change;
-use crate::gateway::loads::Teller;
+use crate::gateway::loads::ReportSource;
 use crate::gateway::peerfetch;
 use crate::gateway::peers::Acquaintance;
 use crate::gateway::position::Position;
@@ -133,12 +133,14 @@
     let data_centre = data_centre.clone();
     let (teller, loads) = match told {
         ToldLoads::Nothing => return,
-        ToldLoads::OfHost(loads) => (Teller::Host(host), loads),
-        ToldLoads::OfVisitor(loads) => (Teller::Visitor { host, data_centre }, loads),
-        ToldLoads::OfDataCentre(loads) => (Teller::DataCentre(data_centre), loads),
+        ToldLoads::OfHost(loads) => (ReportSource::Host(host), loads),
+        ToldLoads::OfVisitor(loads) => (ReportSource::RemoteHost { host, data_centre }, loads),
+        ToldLoads::OfDataCentre(loads) => (ReportSource::DataCentre(data_centre), loads),
     };
-    let is_word = matches!(teller, Teller::DataCentre(_));
-    shared.loads().with(|board| board.hear(now, teller, loads));
+    let is_word = matches!(teller, ReportSource::DataCentre(_));
+    shared
+        .loads()
+        .with(|board| board.receive(now, teller, loads));
     if is_word {
         shared.word_heard();
     }
@@ -154,8 +156,8 @@
 ) {
     let (teller, told) = match told {
         ToldTrials::Nothing => return,
-        ToldTrials::OfHost(told) => (Teller::Host(host.clone()), told),
-        ToldTrials::OfDataCentre(told) => (Teller::DataCentre(data_centre.clone()), told),
+        ToldTrials::OfHost(told) => (ReportSource::Host(host.clone()), told),
+        ToldTrials::OfDataCentre(told) => (ReportSource::DataCentre(data_centre.clone()), told),
     };
     if !told.is_empty() {
         shared.evidences(|evidences| evidences.hear(now, teller, told));
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -299,7 +299,7 @@
         tick(LAPSE_INTERVAL).await;
         shared.look_for_suspension();
         let now = shared.now();
-        shared.loads().with(|loads| loads.lapse(now));
+        shared.loads().with(|loads| loads.expire(now));
         shared.review_suspects();
         shared.review_rollouts();
         let gone = shared.directory(|directory| directory.lapse(now));
--- a/src/gateway/line.rs
+++ b/src/gateway/line.rs
@@ -17,7 +17,7 @@
 use crate::gateway::admit::Prospect;
 use crate::gateway::admit::Verdict;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Occupied;
+use crate::gateway::loads::LoadGuard;
 use crate::gateway::pace::Pace;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
@@ -269,7 +269,7 @@
 struct Reserved {
     upstream: InstanceId,
     tokens: u32,
-    _occupied: Occupied,
+    _occupied: LoadGuard,
 }
 
 impl Reserved {
@@ -277,7 +277,7 @@
         let best = serve::choose(shared, need, candidates)?;
         let tokens = need.tokens();
         let upstream = best.upstream.id.clone();
-        let occupied = shared.loads().occupy(&upstream, tokens, 0);
+        let occupied = shared.loads().add_request(&upstream, tokens, 0);
         shared.tell_news();
         Some(Reserved {
             upstream,
--- a/src/gateway/line/tests.rs
+++ b/src/gateway/line/tests.rs
@@ -7,7 +7,7 @@
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Load;
-use crate::gateway::loads::LoadBoard;
+use crate::gateway::loads::SharedLoads;
 use crate::gateway::placement::Candidate;
 use crate::id::CustomerId;
 use crate::id::DataCentre;
@@ -20,7 +20,7 @@
 }
 
 /// The engine as `board` counts it.
-fn candidate(board: &LoadBoard) -> Candidate {
+fn candidate(board: &SharedLoads) -> Candidate {
     let upstream = Upstream {
         id: engine(),
         service: service(),
@@ -42,12 +42,12 @@
 // Long generations that waited saw short ones of other hosts take all that became free.
 #[test]
 fn room_that_is_reserved_is_taken_for_others_and_free_for_who_waits() {
-    let board = LoadBoard::default();
-    let _running = board.occupy(&engine(), 18_000, 0);
+    let board = SharedLoads::default();
+    let _running = board.add_request(&engine(), 18_000, 0);
     let reserved = Reserved {
         upstream: engine(),
         tokens: 6_000,
-        _occupied: board.occupy(&engine(), 6_000, 0),
+        _occupied: board.add_request(&engine(), 6_000, 0),
     };
     let for_others = candidate(&board).load;
     let mut own = [candidate(&board)];
--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -58,11 +58,11 @@
 
 /// Who tells of loads.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Teller {
+pub enum ReportSource {
     /// A host of all that it runs.
     Host(HostId),
     /// A host of another data centre of what it runs in this one.
-    Visitor {
+    RemoteHost {
         /// The host.
         host: HostId,
         /// Its data centre.
@@ -76,14 +76,14 @@
 #[derive(Debug, Default)]
 pub struct Loads {
     own: BTreeMap<InstanceId, Load>,
-    peers: HashMap<Teller, PeerLoads>,
+    peers: HashMap<ReportSource, PeerLoads>,
     /// Of what all peers tell.
     sums: HashMap<InstanceKey, Load>,
 }
 
 impl Loads {
     /// Takes a peer's counts.
-    pub fn hear(&mut self, now: Time, teller: Teller, loads: Vec<(InstanceKey, Load)>) {
+    pub fn receive(&mut self, now: Time, teller: ReportSource, loads: Vec<(InstanceKey, Load)>) {
         let loads: HashMap<InstanceKey, Load> = loads.into_iter().collect();
         for (key, load) in &loads {
             self.sums.entry(*key).or_default().add(*load);
@@ -105,7 +105,7 @@
     }
 
     /// Forgets peers that are silent.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         let is_silent = |peer: &PeerLoads| now.since(peer.at) >= PEER_COUNT_LASTS;
         let silent = self.peers.extract_if(|_, peer| is_silent(peer));
         let silent: Vec<PeerLoads> = silent.map(|(_, peer)| peer).collect();
@@ -127,15 +127,15 @@
     }
 
     /// What runs at the upstreams of this data centre, as `is_home` tells, but for what hosts of `receiver` run there, for these.
-    pub fn data_centre(
+    pub fn summary_for(
         &self,
         is_home: impl Fn(InstanceKey) -> bool,
         receiver: &DataCentre,
     ) -> Vec<(InstanceKey, Load)> {
-        let is_told = |teller: &Teller| match teller {
-            Teller::Host(_) => true,
-            Teller::Visitor { data_centre, .. } => data_centre != receiver,
-            Teller::DataCentre(_) => false,
+        let is_told = |teller: &ReportSource| match teller {
+            ReportSource::Host(_) => true,
+            ReportSource::RemoteHost { data_centre, .. } => data_centre != receiver,
+            ReportSource::DataCentre(_) => false,
         };
         let told = self.peers.iter().filter(|(teller, _)| is_told(teller));
         let told = told.flat_map(|(_, told)| told.loads.iter().map(|(key, load)| (*key, *load)));
@@ -149,7 +149,7 @@
     }
 
     /// What this host runs, by the data centre of the upstream that `place` tells.
-    pub fn own_by_place(
+    pub fn own_by_data_centre(
         &self,
         place: impl Fn(&InstanceId) -> Option<DataCentre>,
     ) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
@@ -166,8 +166,10 @@
     }
 
     /// Time since a data centre's last word.
-    pub fn word_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
-        let word = self.peers.get(&Teller::DataCentre(data_centre.clone()));
+    pub fn report_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
+        let word = self
+            .peers
+            .get(&ReportSource::DataCentre(data_centre.clone()));
         word.map(|word| now.since(word.at))
     }
 
@@ -188,24 +190,24 @@
 
 /// A handle on the counts; clones share them.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBoard(Arc<Mutex<Loads>>);
+pub struct SharedLoads(Arc<Mutex<Loads>>);
 
-impl LoadBoard {
+impl SharedLoads {
     /// Runs `use_loads` on the counts.
     pub fn with<T>(&self, use_loads: impl FnOnce(&mut Loads) -> T) -> T {
         use_loads(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Counts one request at an upstream until the guard is dropped. Its prompt counts as unread
-    /// until [`Occupied::prompt_read`].
-    pub fn occupy(&self, upstream: &InstanceId, tokens: u32, prompt_tokens: u32) -> Occupied {
+    /// until [`LoadGuard::mark_prompt_read`].
+    pub fn add_request(&self, upstream: &InstanceId, tokens: u32, prompt_tokens: u32) -> LoadGuard {
         let load = Load {
             requests: 1,
             tokens,
             unread_tokens: prompt_tokens,
         };
         self.with(|loads| loads.start(upstream, load));
-        Occupied {
+        LoadGuard {
             board: self.clone(),
             upstream: upstream.clone(),
             load,
@@ -215,13 +217,13 @@
 
 /// Work that is counted at an upstream.
 #[derive(Debug)]
-pub struct Occupied {
-    board: LoadBoard,
+pub struct LoadGuard {
+    board: SharedLoads,
     upstream: InstanceId,
     load: Load,
 }
 
-impl Occupied {
+impl LoadGuard {
     /// The request turns out to need this much memory.
     pub fn grow_to(&mut self, tokens: u32) {
         let more = Load {
@@ -234,7 +236,7 @@
     }
 
     /// The upstream has read the request's prompt.
-    pub fn prompt_read(&mut self) {
+    pub fn mark_prompt_read(&mut self) {
         let read = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
             ..Load::default()
@@ -244,7 +246,7 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         let upstream = &self.upstream;
         let load = self.load;
--- a/src/gateway/loads/tests.rs
+++ b/src/gateway/loads/tests.rs
@@ -1,8 +1,8 @@
 use std::collections::HashSet;
 
 use super::Load;
-use super::LoadBoard;
-use super::Teller;
+use super::ReportSource;
+use super::SharedLoads;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::id::DataCentre;
@@ -23,9 +23,9 @@
 
 #[test]
 fn work_counts_until_its_guard_is_dropped() {
-    let board = LoadBoard::default();
-    let first = board.occupy(&upstream(), 300, 200);
-    let second = board.occupy(&upstream(), 50, 0);
+    let board = SharedLoads::default();
+    let first = board.add_request(&upstream(), 300, 200);
+    let second = board.add_request(&upstream(), 50, 0);
     let both = board.with(|loads| loads.at(&upstream()));
 
     drop(first);
@@ -39,10 +39,10 @@
 
 #[test]
 fn a_prompt_that_was_read_is_waited_for_no_more() {
-    let board = LoadBoard::default();
-    let mut work = board.occupy(&upstream(), 300, 200);
+    let board = SharedLoads::default();
+    let mut work = board.add_request(&upstream(), 300, 200);
 
-    work.prompt_read();
+    work.mark_prompt_read();
     let read = board.with(|loads| loads.at(&upstream()));
     drop(work);
 
@@ -52,8 +52,8 @@
 
 #[test]
 fn work_that_grows_counts_as_what_it_has_grown_to_and_ends_whole() {
-    let board = LoadBoard::default();
-    let mut work = board.occupy(&upstream(), 300, 0);
+    let board = SharedLoads::default();
+    let mut work = board.add_request(&upstream(), 300, 0);
 
     work.grow_to(500);
     work.grow_to(400);
@@ -66,13 +66,13 @@
 
 #[test]
 fn peers_count_until_they_are_silent() {
-    let board = LoadBoard::default();
-    let _own = board.occupy(&upstream(), 10, 0);
+    let board = SharedLoads::default();
+    let _own = board.add_request(&upstream(), 10, 0);
     let told = vec![(upstream().key(), load(2, 90, 5))];
-    board.with(|loads| loads.hear(Time::ZERO, Teller::Host(HostId::new("peer")), told));
+    board.with(|loads| loads.receive(Time::ZERO, ReportSource::Host(HostId::new("peer")), told));
     let heard = board.with(|loads| loads.at(&upstream()));
 
-    board.with(|loads| loads.lapse(Time::from_ms(4_000)));
+    board.with(|loads| loads.expire(Time::from_ms(4_000)));
 
     assert_eq!(heard, load(3, 100, 5));
     assert_eq!(board.with(|loads| loads.at(&upstream())), load(1, 10, 0));
@@ -80,23 +80,23 @@
 
 #[test]
 fn a_peers_later_word_replaces_its_earlier_one() {
-    let board = LoadBoard::default();
-    let peer = Teller::Host(HostId::new("peer"));
+    let board = SharedLoads::default();
+    let peer = ReportSource::Host(HostId::new("peer"));
     let told = vec![(upstream().key(), load(2, 90, 5))];
-    board.with(|loads| loads.hear(Time::ZERO, peer.clone(), told));
+    board.with(|loads| loads.receive(Time::ZERO, peer.clone(), told));
 
-    board.with(|loads| loads.hear(Time::from_ms(5), peer, Vec::new()));
+    board.with(|loads| loads.receive(Time::from_ms(5), peer, Vec::new()));
 
     assert_eq!(board.with(|loads| loads.at(&upstream())), Load::default());
 }
 
 #[test]
 fn a_data_centre_is_counted_once_whoever_tells_of_it() {
-    let board = LoadBoard::default();
-    let south = Teller::DataCentre(DataCentre::new("south"));
+    let board = SharedLoads::default();
+    let south = ReportSource::DataCentre(DataCentre::new("south"));
     for told in [load(7, 700, 70), load(8, 800, 80)] {
         let told = vec![(upstream().key(), told)];
-        board.with(|loads| loads.hear(Time::ZERO, south.clone(), told));
+        board.with(|loads| loads.receive(Time::ZERO, south.clone(), told));
     }
 
     assert_eq!(board.with(|loads| loads.at(&upstream())), load(8, 800, 80));
@@ -104,23 +104,23 @@
 
 #[test]
 fn a_data_centre_tells_all_that_its_upstreams_run_but_what_the_listener_knows_itself() {
-    let board = LoadBoard::default();
+    let board = SharedLoads::default();
     let elsewhere = InstanceId::from(UpstreamId::new("b"));
-    let _own = board.occupy(&upstream(), 10, 0);
-    let _visit = board.occupy(&elsewhere, 10, 0);
-    let visitor = |from: &str| Teller::Visitor {
+    let _own = board.add_request(&upstream(), 10, 0);
+    let _visit = board.add_request(&elsewhere, 10, 0);
+    let visitor = |from: &str| ReportSource::RemoteHost {
         host: HostId::new(from),
         data_centre: DataCentre::new(from),
     };
-    let near = Teller::Host(HostId::new("near"));
-    let far = Teller::DataCentre(DataCentre::new("south"));
+    let near = ReportSource::Host(HostId::new("near"));
+    let far = ReportSource::DataCentre(DataCentre::new("south"));
     for teller in [near, far, visitor("south"), visitor("east")] {
         let told = vec![(upstream().key(), load(2, 90, 5))];
-        board.with(|loads| loads.hear(Time::ZERO, teller, told));
+        board.with(|loads| loads.receive(Time::ZERO, teller, told));
     }
     let home = HashSet::from([upstream().key()]);
     let told = |to: &str| {
-        board.with(|loads| loads.data_centre(|key| home.contains(&key), &DataCentre::new(to)))
+        board.with(|loads| loads.summary_for(|key| home.contains(&key), &DataCentre::new(to)))
     };
 
     // Its own, a neighbour's, and those of the visitors from elsewhere.
@@ -130,16 +130,16 @@
 
 #[test]
 fn what_a_host_runs_elsewhere_is_told_there() {
-    let board = LoadBoard::default();
+    let board = SharedLoads::default();
     let elsewhere = InstanceId::from(UpstreamId::new("b"));
-    let _home = board.occupy(&upstream(), 10, 0);
-    let _visit = board.occupy(&elsewhere, 20, 4);
+    let _home = board.add_request(&upstream(), 10, 0);
+    let _visit = board.add_request(&elsewhere, 20, 4);
     let place = |id: &InstanceId| match id.as_str() {
         "a" => Some(DataCentre::new("north")),
         _ => Some(DataCentre::new("south")),
     };
 
-    let by_place = board.with(|loads| loads.own_by_place(place));
+    let by_place = board.with(|loads| loads.own_by_data_centre(place));
 
     let south = &by_place[&DataCentre::new("south")];
     assert_eq!(south, &[(elsewhere.key(), load(1, 20, 4))]);
@@ -148,22 +148,22 @@
 // A look at one upstream walked all hosts.
 #[test]
 fn sums_kept_as_peers_tell_are_those_of_what_they_told_last() {
-    let board = LoadBoard::default();
-    let host = |index: u32| Teller::Host(HostId::new(format!("host-{index}")));
+    let board = SharedLoads::default();
+    let host = |index: u32| ReportSource::Host(HostId::new(format!("host-{index}")));
     let key = upstream().key();
     for index in 0..30 {
         let told = vec![(key, load(index, 10, 0))];
-        board.with(|loads| loads.hear(Time::ZERO, host(index), told));
+        board.with(|loads| loads.receive(Time::ZERO, host(index), told));
     }
     for index in 0..10 {
         let told = vec![(key, load(1, 7, 3))];
-        board.with(|loads| loads.hear(Time::from_ms(3_000), host(index), told));
+        board.with(|loads| loads.receive(Time::from_ms(3_000), host(index), told));
     }
-    board.with(|loads| loads.hear(Time::from_ms(3_000), host(10), Vec::new()));
+    board.with(|loads| loads.receive(Time::from_ms(3_000), host(10), Vec::new()));
 
     let all = board.with(|loads| loads.at(&upstream()));
     let left = board.with(|loads| {
-        loads.lapse(Time::from_ms(4_500));
+        loads.expire(Time::from_ms(4_500));
         loads.at(&upstream())
     });
 
--- a/src/gateway/rollouts/evidence.rs
+++ b/src/gateway/rollouts/evidence.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Time;
 use crate::gateway::instance::InstanceKey;
-use crate::gateway::loads::Teller;
+use crate::gateway::loads::ReportSource;
 use crate::gateway::position::Position;
 
 /// Answers of so long are judged together.
@@ -304,7 +304,7 @@
 #[derive(Debug, Default)]
 pub struct EvidenceBoard {
     own: BTreeMap<Position, Seen>,
-    told: HashMap<Teller, (Time, Vec<ToldEvidence>)>,
+    told: HashMap<ReportSource, (Time, Vec<ToldEvidence>)>,
 }
 
 impl EvidenceBoard {
@@ -357,7 +357,7 @@
 
     /// What the hosts of this data centre saw, for others.
     pub fn data_centre(&self, now: Time) -> Vec<ToldEvidence> {
-        let is_near = |teller: &Teller| matches!(teller, Teller::Host(_));
+        let is_near = |teller: &ReportSource| matches!(teller, ReportSource::Host(_));
         let own = self.own.keys().map(|order| ToldEvidence {
             ordered_at: *order,
             evidence: shortened(self.sum(now, *order, is_near)),
@@ -366,7 +366,7 @@
     }
 
     /// Another host tells what it, or its data centre, saw.
-    pub fn hear(&mut self, now: Time, teller: Teller, told: Vec<ToldEvidence>) {
+    pub fn hear(&mut self, now: Time, teller: ReportSource, told: Vec<ToldEvidence>) {
         self.told.insert(teller, (now, told));
     }
 
@@ -379,7 +379,12 @@
         all
     }
 
-    fn sum(&self, now: Time, order: Position, is_counted: impl Fn(&Teller) -> bool) -> Evidence {
+    fn sum(
+        &self,
+        now: Time,
+        order: Position,
+        is_counted: impl Fn(&ReportSource) -> bool,
+    ) -> Evidence {
         let own = self.own.get(&order);
         let mut sum = own.map(|seen| seen.sum(now)).unwrap_or_default();
         for (teller, (at, told)) in &self.told {
--- a/src/gateway/rollouts/evidence/tests.rs
+++ b/src/gateway/rollouts/evidence/tests.rs
@@ -8,7 +8,7 @@
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
-use crate::gateway::loads::Teller;
+use crate::gateway::loads::ReportSource;
 use crate::gateway::position::Position;
 use crate::id::HostId;
 use crate::id::UpstreamId;
@@ -101,7 +101,7 @@
     for index in 0..6 {
         let mut other = EvidenceBoard::default();
         note(&mut other, Side::New, 3, &failing(3, 3));
-        let host = Teller::Host(HostId::new(format!("host-{index}")));
+        let host = ReportSource::Host(HostId::new(format!("host-{index}")));
         own.hear(NOW, host, other.own(NOW));
     }
 
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -12,7 +12,7 @@
 use super::share;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Teller;
+use crate::gateway::loads::ReportSource;
 use crate::gateway::rollouts::Due;
 use crate::gateway::rollouts::ExposureBound;
 use crate::gateway::rollouts::RolloutOrder;
@@ -257,7 +257,7 @@
                     continue;
                 }
                 host.rollouts.hear(now, rollouts);
-                let teller = Teller::Host(HostId::new(format!("host-{from}")));
+                let teller = ReportSource::Host(HostId::new(format!("host-{from}")));
                 host.evidences.hear(now, teller, evidences.clone());
             }
         }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -31,7 +31,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining::Seeds;
 use crate::gateway::line::LineBoard;
-use crate::gateway::loads::LoadBoard;
+use crate::gateway::loads::SharedLoads;
 use crate::gateway::peerfetch::ListCache;
 use crate::gateway::peers::Fetch;
 use crate::gateway::peers::Peers;
@@ -80,7 +80,7 @@
     clock: SystemClock,
     log: DecisionLog,
     gate: Arc<Gate>,
-    loads: LoadBoard,
+    loads: SharedLoads,
     words: watch::Sender<u64>,
     asks: watch::Sender<u64>,
     turns: TurnBoard,
@@ -136,7 +136,7 @@
             clock,
             log,
             gate: Gate::new(),
-            loads: LoadBoard::default(),
+            loads: SharedLoads::default(),
             words: watch::channel(0).0,
             asks: watch::channel(0).0,
             turns: TurnBoard::default(),
@@ -198,7 +198,7 @@
     }
 
     /// What runs where.
-    pub fn loads(&self) -> &LoadBoard {
+    pub fn loads(&self) -> &SharedLoads {
         &self.0.loads
     }
 
--- a/src/gateway/shared/farloads.rs
+++ b/src/gateway/shared/farloads.rs
@@ -27,7 +27,7 @@
         self.directory(|directory| {
             let is_home = |key| directory.data_centre_of(key) == Some(here);
             self.loads()
-                .with(|loads| loads.data_centre(is_home, receiver))
+                .with(|loads| loads.summary_for(is_home, receiver))
         })
     }
 
@@ -35,8 +35,9 @@
     pub(crate) fn visits(&self) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
         let here = &self.settings().data_centre;
         let mut visits = self.directory(|directory| {
-            self.loads()
-                .with(|loads| loads.own_by_place(|id| Some(directory.get(id)?.data_centre.clone())))
+            self.loads().with(|loads| {
+                loads.own_by_data_centre(|id| Some(directory.get(id)?.data_centre.clone()))
+            })
         });
         visits.remove(here);
         visits
@@ -50,7 +51,7 @@
         let mut data_centres = self.peers(|peers| peers.live_data_centres(now));
         self.loads().with(|loads| {
             data_centres.retain(|data_centre| {
-                let age = loads.word_age(now, data_centre);
+                let age = loads.report_age(now, data_centre);
                 age.is_none_or(|age| age > FRESH)
             });
         });
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -27,7 +27,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::line;
 use crate::gateway::line::Share;
-use crate::gateway::loads::Occupied;
+use crate::gateway::loads::LoadGuard;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::GenerationSize;
@@ -73,7 +73,7 @@
     body: Incoming,
     /// Closes with the run.
     _connection: Connection,
-    occupied: Occupied,
+    occupied: LoadGuard,
     sent_at: Instant,
     /// Tokens to be read before its first event, its own among them.
     unread_tokens: u32,
@@ -108,7 +108,7 @@
 /// A request on its way to an engine.
 struct Sending<'a> {
     upstream: &'a Arc<Upstream>,
-    occupied: Occupied,
+    occupied: LoadGuard,
     /// Tokens to be read there before its first event, its own among them.
     unread_tokens: u32,
     continuation: Option<&'a Continuation>,
@@ -271,7 +271,9 @@
         _ => 0,
     };
     shared.sends_to(upstream);
-    let occupied = shared.loads().occupy(&upstream.id, tokens, unread_tokens);
+    let occupied = shared
+        .loads()
+        .add_request(&upstream.id, tokens, unread_tokens);
     let load = shared.loads().with(|loads| loads.at(&upstream.id));
     shared.tell_news();
     let sending = Sending {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -19,7 +19,7 @@
 use crate::gateway::destinations::Among;
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Occupied;
+use crate::gateway::loads::LoadGuard;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::CopyDone;
@@ -88,7 +88,7 @@
 
 /// What a move holds until the run goes on elsewhere.
 pub(super) struct Held {
-    _room: Occupied,
+    _room: LoadGuard,
     _turn: Ticket,
 }
 
@@ -146,7 +146,7 @@
         let tokens = size.prompt_tokens + output_planned(size);
         let held = Held {
             // Its link takes one copy after another, so the copy counts as unread until it is used.
-            _room: self.shared.loads().occupy(&to.id, tokens, tokens),
+            _room: self.shared.loads().add_request(&to.id, tokens, tokens),
             _turn: ticket,
         };
         let copying = self.copy(&to, false);
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -146,7 +146,7 @@
     /// Events go out to the caller.
     fn passed(&mut self) {
         self.meter.token(self.shared.now());
-        self.running.occupied.prompt_read();
+        self.running.occupied.mark_prompt_read();
         self.look_at_length();
         let now = Instant::now();
         match self.first_ms {
