--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -6,6 +6,7 @@
 //! library's basic types and nothing of the product's own API.
 
 pub mod admit;
+pub(crate) mod attempts;
 pub mod call;
 pub mod cold;
 pub mod configfetch;
@@ -59,6 +60,5 @@
 pub(crate) mod suspectlog;
 pub mod suspects;
 pub(crate) mod ticks;
-pub(crate) mod tries;
 pub mod turns;
 pub(crate) mod wakefulness;
--- a/src/gateway/tries.rs
+++ b/src/gateway/attempts.rs
@@ -23,7 +23,7 @@
 
 /// Whether a try reached its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Reached {
+pub(crate) enum Delivery {
     /// A connection stood; the request was or may have been sent.
     Sent,
     /// No connection could be established.
@@ -56,14 +56,14 @@
 
 /// The tries of one request.
 #[derive(Debug, Default)]
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     upstreams: Vec<InstanceId>,
     sent: usize,
 }
 
-impl Tries {
+impl Attempts {
     /// The request is offered to `upstream`.
-    pub(crate) fn begin(&mut self, upstream: &InstanceId) {
+    pub(crate) fn add(&mut self, upstream: &InstanceId) {
         self.upstreams.push(upstream.clone());
     }
 
@@ -79,17 +79,17 @@
 
     /// The last try failed for `reason`. Whether the request goes to another upstream; writes the
     /// line that says so.
-    pub(crate) fn go_on(
+    pub(crate) fn decide_retry(
         &mut self,
         shared: &Shared,
         admitted: &Admitted,
-        reached: Reached,
+        reached: Delivery,
         reason: &str,
     ) -> bool {
         let hosts = shared.sharing_hosts();
         let (verdict, balance) = match reached {
-            Reached::Unreachable => (self.look_further(admitted), None),
-            Reached::Sent => self.send_again(shared, &admitted.service, hosts),
+            Delivery::Unreachable => (self.look_further(admitted), None),
+            Delivery::Sent => self.send_again(shared, &admitted.service, hosts),
         };
         let line = admitted.line(shared, EventCode::RequestRestarted);
         line.with_some("upstream", self.upstreams.last().map(InstanceId::as_str))
--- a/src/gateway/tries/tests.rs
+++ b/src/gateway/attempts/tests.rs
@@ -1,14 +1,14 @@
 use std::time::Duration;
 
+use super::Attempts;
 use super::SENDS_MAX;
-use super::Tries;
 use crate::gateway::instance::InstanceId;
 use crate::id::UpstreamId;
 
-fn tries(count: usize) -> Tries {
-    let mut tries = Tries::default();
+fn tries(count: usize) -> Attempts {
+    let mut tries = Attempts::default();
     for index in 0..count {
-        tries.begin(&InstanceId::from(UpstreamId::new(format!(
+        tries.add(&InstanceId::from(UpstreamId::new(format!(
             "upstream-{index}"
         ))));
     }
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -12,6 +12,8 @@
 use tokio::time::Instant;
 
 use crate::event::EventCode;
+use crate::gateway::attempts::Attempts;
+use crate::gateway::attempts::Delivery;
 use crate::gateway::connection::Connection;
 use crate::gateway::connection::Patience;
 use crate::gateway::directory::Upstream;
@@ -29,8 +31,6 @@
 use crate::gateway::serve::Admitted;
 use crate::gateway::serve::Front;
 use crate::gateway::shared::Shared;
-use crate::gateway::tries::Reached;
-use crate::gateway::tries::Tries;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 use crate::telemetry;
@@ -92,7 +92,7 @@
     if shared.stops_in().is_some_and(|left| left < LAST_CALLS) {
         return admitted.refuse(shared, &refuse::stopping());
     }
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     let mut may_have_run = 0;
     let mut failure: Option<FailedAnswer> = None;
     loop {
@@ -106,7 +106,7 @@
             return exhausted(shared, &admitted, may_have_run, tries.len(), failure);
         };
         let upstream = candidate.upstream;
-        tries.begin(&upstream.id);
+        tries.add(&upstream.id);
         let _trial = shared.trial(&upstream.id);
         let last = is_last(&admitted, may_have_run);
         let sent_at = Instant::now();
@@ -116,8 +116,8 @@
             shared.note_tried(&admitted, &upstream, Measure::Whole, tried);
         }
         let reached = match outcome {
-            Attempted::Unreachable(_) => Reached::Unreachable,
-            _ => Reached::Sent,
+            Attempted::Unreachable(_) => Delivery::Unreachable,
+            _ => Delivery::Sent,
         };
         let reason = match outcome {
             Attempted::Answered(answer) if may_repeat_answer(&admitted, &answer, last) => {
@@ -143,7 +143,7 @@
                 "no answer in time".to_owned()
             }
         };
-        if !tries.go_on(shared, &admitted, reached, &reason) {
+        if !tries.decide_retry(shared, &admitted, reached, &reason) {
             return exhausted(shared, &admitted, may_have_run, tries.len(), failure);
         }
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -13,6 +13,8 @@
 use tokio::time::Instant;
 
 use crate::event::EventCode;
+use crate::gateway::attempts::Attempts;
+use crate::gateway::attempts::Delivery;
 use crate::gateway::call;
 use crate::gateway::call::CONNECT_TIMEOUT;
 use crate::gateway::call::WholeAnswer;
@@ -37,8 +39,6 @@
 use crate::gateway::serve::Front;
 use crate::gateway::shared::Shared;
 use crate::gateway::stream::relay::Relay;
-use crate::gateway::tries::Reached;
-use crate::gateway::tries::Tries;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
@@ -129,7 +129,7 @@
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
         return admitted.refuse(shared, &refusal);
     }
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     loop {
         let need = need(shared, &admitted);
         let candidate = match choose_engine(shared, &admitted, need, tries.upstreams()).await {
@@ -143,7 +143,7 @@
             .lines()
             .run(admitted.customer.as_ref(), need.tokens());
         let upstream = candidate.upstream;
-        tries.begin(&upstream.id);
+        tries.add(&upstream.id);
         let _trial = shared.trial(&upstream.id);
         let line = admitted.line(shared, EventCode::RequestDispatched);
         line.with("upstream", upstream.id.as_str())
@@ -170,13 +170,13 @@
                 let message = format!("{}: {reason}", upstream.id);
                 return admitted.refuse(shared, &Refusal::unknown(Code::UpstreamFailed, message));
             }
-            Opened::Unreachable(reason) => (Reached::Unreachable, reason),
+            Opened::Unreachable(reason) => (Delivery::Unreachable, reason),
             Opened::NotRun(reason) => {
                 shared.upstream_failed(&admitted.service, &upstream.id, &reason);
-                (Reached::Sent, reason)
+                (Delivery::Sent, reason)
             }
         };
-        if !tries.go_on(shared, &admitted, reached, &reason) {
+        if !tries.decide_retry(shared, &admitted, reached, &reason) {
             return refuse_unplaced(shared, &admitted, tries.len(), &reason);
         }
     }
