--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -42,7 +42,7 @@
 pub mod pool;
 pub mod position;
 pub mod protocol;
-pub mod reach;
+pub mod reachability;
 pub(crate) mod reading;
 pub mod refuse;
 pub(crate) mod rendezvous;
--- a/src/gateway/reach.rs
+++ b/src/gateway/reachability.rs
@@ -15,90 +15,90 @@
 use crate::gateway::instance::InstanceId;
 
 /// First time for which an upstream is passed over.
-const PASSED_OVER_MIN: Duration = Duration::from_millis(800);
+const BACKOFF_MIN: Duration = Duration::from_millis(800);
 /// Longest time, so that a cut that healed is noticed within it.
-const PASSED_OVER_MAX: Duration = Duration::from_millis(3_200);
+const BACKOFF_MAX: Duration = Duration::from_millis(3_200);
 /// A connection of the host's own outweighs its peers' words for this long.
-const OWN_SIGHT_LASTS: Duration = Duration::from_millis(1_000);
+const OWN_SUCCESS_TTL: Duration = Duration::from_millis(1_000);
 
 /// An upstream that is passed over.
 #[derive(Debug, Clone, Copy)]
-struct Failing {
+struct Backoff {
     until: Time,
     next: Duration,
     /// Whether this host saw it itself.
-    first_hand: bool,
+    is_own: bool,
 }
 
 /// What is known of connections to one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct Record {
-    failing: Option<Failing>,
+    failing: Option<Backoff>,
     reached_at: Option<Time>,
 }
 
 /// What is known of connections to all upstreams.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     records: HashMap<InstanceId, Record>,
 }
 
-impl Reach {
+impl Reachability {
     /// A connection could not be established. True if the upstream could be reached before.
-    pub fn failed(&mut self, now: Time, upstream: &InstanceId) -> bool {
+    pub fn record_failure(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         let known = record.failing;
-        if known.is_some_and(|failing| failing.first_hand && failing.until > now) {
+        if known.is_some_and(|failing| failing.is_own && failing.until > now) {
             return false;
         }
         let pause = match known {
-            Some(failing) if failing.first_hand => failing.next,
-            Some(_) | None => PASSED_OVER_MIN,
+            Some(failing) if failing.is_own => failing.next,
+            Some(_) | None => BACKOFF_MIN,
         };
-        record.failing = Some(Failing {
+        record.failing = Some(Backoff {
             until: now + pause,
-            next: (pause * 2).min(PASSED_OVER_MAX),
-            first_hand: true,
+            next: (pause * 2).min(BACKOFF_MAX),
+            is_own: true,
         });
         known.is_none()
     }
 
     /// Another host of the data centre could not connect. True if that is news.
-    pub fn hear(&mut self, now: Time, upstream: &InstanceId) -> bool {
+    pub fn receive_report(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         let seen = record.reached_at;
-        let reached_lately = seen.is_some_and(|at| now.since(at) < OWN_SIGHT_LASTS);
+        let reached_lately = seen.is_some_and(|at| now.since(at) < OWN_SUCCESS_TTL);
         let known = record.failing;
         if reached_lately || known.is_some_and(|failing| failing.until > now) {
             return false;
         }
-        record.failing = Some(Failing {
-            until: now + PASSED_OVER_MIN,
-            next: known.map_or(PASSED_OVER_MIN, |failing| failing.next),
-            first_hand: false,
+        record.failing = Some(Backoff {
+            until: now + BACKOFF_MIN,
+            next: known.map_or(BACKOFF_MIN, |failing| failing.next),
+            is_own: false,
         });
         known.is_none()
     }
 
     /// A connection was established. True if it could not before.
-    pub fn reached(&mut self, now: Time, upstream: &InstanceId) -> bool {
+    pub fn record_success(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         record.reached_at = Some(now);
         record.failing.take().is_some()
     }
 
     /// Whether an upstream is to be passed over.
-    pub fn is_passed_over(&self, now: Time, upstream: &InstanceId) -> bool {
+    pub fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.get(upstream);
         let failing = record.and_then(|record| record.failing);
         failing.is_some_and(|failing| failing.until > now)
     }
 
     /// What this host itself can't connect to now, for its peers.
-    pub fn first_hand(&self, now: Time) -> Vec<InstanceId> {
+    pub fn own_failures(&self, now: Time) -> Vec<InstanceId> {
         let failing = |record: &Record| {
             let failing = record.failing;
-            failing.is_some_and(|failing| failing.first_hand && failing.until > now)
+            failing.is_some_and(|failing| failing.is_own && failing.until > now)
         };
         let records = self.records.iter();
         records
@@ -108,7 +108,7 @@
     }
 
     /// An upstream is gone for good.
-    pub fn forget(&mut self, upstream: &InstanceId) {
+    pub fn remove(&mut self, upstream: &InstanceId) {
         self.records.remove(upstream);
     }
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -39,7 +39,7 @@
 use crate::gateway::placement::RemoteCounts;
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Protocol;
-use crate::gateway::reach::Reach;
+use crate::gateway::reachability::Reachability;
 use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
@@ -91,7 +91,7 @@
     hearsay: Mutex<Hearsay>,
     peers: Mutex<Peers>,
     ejector: Mutex<Ejector<InstanceId>>,
-    reach: Mutex<Reach>,
+    reach: Mutex<Reachability>,
     reported_loads: Mutex<ReportedLoads>,
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -28,7 +28,7 @@
         for applied in changes {
             if let Some(ended) = &applied.ended {
                 locked(&self.0.ejector).forget(ended);
-                locked(&self.0.reach).forget(ended);
+                locked(&self.0.reach).remove(ended);
             }
             match told_by {
                 ToldBy::Own(source) => self.note_change(&applied, source),
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -26,7 +26,7 @@
     /// A connection to an upstream could not be established.
     pub fn upstream_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
-        if locked(&self.0.reach).failed(now, upstream) {
+        if locked(&self.0.reach).record_failure(now, upstream) {
             let line = self.log().line(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
@@ -39,7 +39,7 @@
     pub fn hear_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
-            if locked(&self.0.reach).hear(now, upstream) {
+            if locked(&self.0.reach).receive_report(now, upstream) {
                 let line = self.log().line(EventCode::UpstreamLost);
                 line.with("upstream", upstream.as_str())
                     .with("source", peer.as_str())
@@ -50,7 +50,7 @@
 
     /// What this host itself can't connect to now.
     pub fn unreachable(&self) -> Vec<InstanceId> {
-        locked(&self.0.reach).first_hand(self.now())
+        locked(&self.0.reach).own_failures(self.now())
     }
 
     /// An upstream may say what it holds.
@@ -78,7 +78,7 @@
 
     /// A connection to an upstream was established.
     pub fn upstream_reached(&self, upstream: &InstanceId) {
-        if locked(&self.0.reach).reached(self.now(), upstream) {
+        if locked(&self.0.reach).record_success(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
                 .with("change", "reached")
@@ -104,7 +104,7 @@
 
     /// Whether connections to an upstream could not be established a moment ago.
     pub(crate) fn is_passed_over(&self, now: Time, upstream: &InstanceId) -> bool {
-        locked(&self.0.reach).is_passed_over(now, upstream)
+        locked(&self.0.reach).is_unreachable(now, upstream)
     }
 
     /// Whether this host is cut off from all upstreams of a service that others can reach.
