--- a/src/gateway/rescue.rs
+++ b/src/gateway/migration.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Copies a run's memory to another engine; with `last` the run stops first.
+/// Copies a run's memory to another engine; with `is_final` the run stops first.
 ///
 /// # Errors
 ///
@@ -52,9 +52,11 @@
     source: &Upstream,
     request_id: &str,
     to: &Upstream,
-    last: bool,
+    is_final: bool,
 ) -> std::result::Result<CopyDone, CopyFailure> {
-    let call = shared.protocol().copy_call(request_id, to.address, last);
+    let call = shared
+        .protocol()
+        .copy_call(request_id, to.address, is_final);
     let mut client = OwnClient::new(source.address);
     let (status, body) = client
         .call(&call, COPY_TIMEOUT)
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -20,11 +20,11 @@
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::LoadGuard;
+use crate::gateway::migration;
+use crate::gateway::migration::CopyFailure;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::CopyDone;
-use crate::gateway::rescue;
-use crate::gateway::rescue::CopyFailure;
 use crate::gateway::serve;
 use crate::gateway::serve::Breadth;
 use crate::gateway::turns::Ticket;
@@ -158,7 +158,7 @@
         let source = self.running.upstream.clone();
         let id = self.admitted.id.clone();
         let to = to.clone();
-        Box::pin(async move { rescue::copy(&shared, &source, &id, &to, last).await })
+        Box::pin(async move { migration::copy(&shared, &source, &id, &to, last).await })
     }
 
     fn pause(&mut self) {
