--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -90,7 +90,7 @@
     let now = shared.now();
     shared.budget(&admitted.service, |budget| budget.requested(now));
     if shared.stops_in().is_some_and(|left| left < LAST_CALLS) {
-        return admitted.refuse(shared, &refuse::stopping());
+        return admitted.refuse(shared, &refuse::host_stopping());
     }
     let mut tries = Attempts::default();
     let mut may_have_run = 0;
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -179,7 +179,7 @@
             .with("message", refusal.message.as_str())
             .write();
         telemetry::count_refusal(Some(&self.service), refusal.code);
-        refuse::answer(refusal, shared.sends_callers_away())
+        refuse::response(refusal, shared.sends_callers_away())
     }
 
     /// The refusal of a request for which no upstream is left after `tries`; it has not run.
@@ -459,5 +459,5 @@
         .with("message", refusal.message.as_str())
         .write();
     telemetry::count_refusal(None, refusal.code);
-    refuse::answer(refusal, shared.sends_callers_away())
+    refuse::response(refusal, shared.sends_callers_away())
 }
--- a/src/gateway/stream/stopping.rs
+++ b/src/gateway/stream/stopping.rs
@@ -23,7 +23,7 @@
     let size = admitted.size(shared);
     match finishes(size, stopping_for, left) {
         true => None,
-        false => Some(refuse::stopping()),
+        false => Some(refuse::host_stopping()),
     }
 }
 
