--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -88,7 +88,7 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.budget(&admitted.service, |budget| budget.requested(now));
+    shared.budget(&admitted.service, |budget| budget.record_request(now));
     if shared.stops_in().is_some_and(|left| left < LAST_CALLS) {
         return admitted.refuse(shared, &refuse::host_stopping());
     }
--- a/src/gateway/retrybudget.rs
+++ b/src/gateway/retrybudget.rs
@@ -14,9 +14,9 @@
 use crate::clock::Time;
 
 /// Share of the budget that a process uses once it has run for a window.
-const USED_SHARE: f64 = 0.6;
+const STEADY_SHARE: f64 = 0.6;
 /// Share of it that processes use in their first window.
-const USED_SHARE_AT_START: f64 = 1.0 - USED_SHARE;
+const FIRST_WINDOW_SHARE: f64 = 1.0 - STEADY_SHARE;
 
 /// Bounds of the budget over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -51,25 +51,25 @@
 #[derive(Debug)]
 pub struct SharedRetryBudget {
     options: RetryBudgetOptions,
-    lot: f64,
+    draw: f64,
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
 impl SharedRetryBudget {
-    /// A budget that nothing was taken from. `lot` is drawn from 0 to 1.
-    pub fn new(options: RetryBudgetOptions, lot: f64) -> Self {
+    /// A budget that nothing was taken from. `draw` is drawn from 0 to 1.
+    pub fn new(options: RetryBudgetOptions, draw: f64) -> Self {
         SharedRetryBudget {
             options,
-            lot,
+            draw,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
         }
     }
 
     /// A request arrived.
-    pub fn requested(&mut self, now: Time) {
-        self.forget(now);
+    pub fn record_request(&mut self, now: Time) {
+        self.expire(now);
         self.requests.push_back(now);
     }
 
@@ -80,13 +80,13 @@
 
     /// What the budget holds if `hosts` hosts share the allowance. `now` counts from the start of the process.
     pub fn balance(&mut self, now: Time, hosts: usize) -> Balance {
-        self.forget(now);
-        let part = self.options.allowance / hosts.max(1) as f64;
+        self.expire(now);
+        let share = self.options.allowance / hosts.max(1) as f64;
         let earned = self.options.ratio * self.requests.len() as f64;
         let age = now.since(Time::ZERO).div_duration_f64(self.options.window);
         let allowed = match age < 1.0 {
-            true => (earned + part * age) * USED_SHARE_AT_START,
-            false => self.one_by_lot((earned + part) * USED_SHARE),
+            true => (earned + share * age) * FIRST_WINDOW_SHARE,
+            false => self.round_up_by_draw((earned + share) * STEADY_SHARE),
         };
         Balance {
             requests: self.requests.len(),
@@ -95,8 +95,8 @@
         }
     }
 
-    fn one_by_lot(&self, allowed: f64) -> f64 {
-        match allowed < 1.0 && self.lot < allowed {
+    fn round_up_by_draw(&self, allowed: f64) -> f64 {
+        match allowed < 1.0 && self.draw < allowed {
             true => 1.0,
             false => allowed,
         }
@@ -111,7 +111,7 @@
         has_room
     }
 
-    fn forget(&mut self, now: Time) {
+    fn expire(&mut self, now: Time) {
         for times in [&mut self.requests, &mut self.retries] {
             while times
                 .front()
--- a/src/gateway/retrybudget/tests.rs
+++ b/src/gateway/retrybudget/tests.rs
@@ -32,7 +32,7 @@
     for _ in 0..hosts {
         let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
         for _ in 0..requests {
-            budget.requested(NOW);
+            budget.record_request(NOW);
         }
         sum += retries(&mut budget, NOW + Duration::from_millis(1), hosts);
     }
@@ -76,7 +76,7 @@
     let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
     let half = Time::ZERO + OPTIONS.window / 2;
     for _ in 0..100 {
-        budget.requested(half);
+        budget.record_request(half);
     }
 
     let taken = retries(&mut budget, half, 1);
--- a/src/gateway/retrybudget/tests/fleet.rs
+++ b/src/gateway/retrybudget/tests/fleet.rs
@@ -86,7 +86,7 @@
         for _ in 0..requests {
             let index = self.random.random_range(0..count);
             if let Some((budget, since)) = &mut self.hosts[index].budget {
-                budget.requested(age(now, *since));
+                budget.record_request(age(now, *since));
             }
         }
         for host in &mut self.hosts {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -125,7 +125,7 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.budget(&admitted.service, |budget| budget.requested(now));
+    shared.budget(&admitted.service, |budget| budget.record_request(now));
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
         return admitted.refuse(shared, &refusal);
     }
