--- a/src/bin/cedargauge/losses.rs
+++ b/src/bin/cedargauge/losses.rs
@@ -10,8 +10,8 @@
 use argh::FromArgs;
 
 use cedargauge::gateway::losses;
-use cedargauge::gateway::losses::Bounds;
 use cedargauge::gateway::losses::Losses;
+use cedargauge::gateway::losses::Thresholds;
 
 /// Tell from hosts' log lines which requests were not served in time, and why.
 #[derive(FromArgs)]
@@ -31,11 +31,11 @@
 impl Command {
     pub(crate) fn run(&self) -> anyhow::Result<ExitCode> {
         let text = self.read()?;
-        let bounds = Bounds {
-            first: Duration::from_millis(self.first_ms),
-            pause: Duration::from_millis(self.pause_ms),
+        let thresholds = Thresholds {
+            first_event: Duration::from_millis(self.first_ms),
+            gap: Duration::from_millis(self.pause_ms),
         };
-        print(&losses::tally(text.lines(), bounds));
+        print(&losses::tally(text.lines(), thresholds));
         Ok(ExitCode::SUCCESS)
     }
 
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -11,15 +11,15 @@
 use serde::Deserialize;
 
 /// A run that broke so soon after its engine's notice went with the engine; engines give 1.5 to 2.1 s.
-const NOTICE_LASTS: Duration = Duration::from_millis(3_500);
+const NOTICE_PERIOD_MAX: Duration = Duration::from_millis(3_500);
 
-/// Bounds beyond which a stream was late.
+/// Thresholds beyond which a stream was late.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct Thresholds {
     /// Time until the first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// Pause between two events.
-    pub pause: Duration,
+    pub gap: Duration,
 }
 
 /// Why a request was not served in time.
@@ -38,9 +38,9 @@
     /// Its upstream answered with this status.
     UpstreamError(u16),
     /// Its first event came late.
-    LateFirst,
+    FirstEventLate,
     /// It paused too long.
-    Paused {
+    Stalled {
         /// After its run was moved.
         moved: bool,
     },
@@ -56,16 +56,16 @@
             Cause::CallerLeft => "caller left".to_owned(),
             Cause::Refused(code) => format!("refused: {code}"),
             Cause::UpstreamError(status) => format!("upstream answered {status}"),
-            Cause::LateFirst => "first event late".to_owned(),
-            Cause::Paused { moved: true } => "paused, was moved".to_owned(),
-            Cause::Paused { moved: false } => "paused".to_owned(),
+            Cause::FirstEventLate => "first event late".to_owned(),
+            Cause::Stalled { moved: true } => "paused, was moved".to_owned(),
+            Cause::Stalled { moved: false } => "paused".to_owned(),
         }
     }
 }
 
 /// The fields of a line that are read here.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogEntry {
     name: String,
     wall_ms: u64,
     #[serde(default)]
@@ -98,12 +98,12 @@
 }
 
 /// Tallies log lines.
-pub fn tally<'a>(lines: impl Iterator<Item = &'a str>, bounds: Bounds) -> Losses {
+pub fn tally<'a>(lines: impl Iterator<Item = &'a str>, thresholds: Thresholds) -> Losses {
     let mut losses = Losses::default();
     let mut notices: HashMap<String, u64> = HashMap::new();
-    let mut requests: BTreeMap<String, (String, Option<Line>)> = BTreeMap::new();
+    let mut requests: BTreeMap<String, (String, Option<LogEntry>)> = BTreeMap::new();
     for text in lines {
-        let Some(line) = parse(text) else {
+        let Some(line) = parse_entry(text) else {
             losses.skipped += 1;
             continue;
         };
@@ -120,14 +120,14 @@
     }
     for (kind, end) in requests.into_values() {
         *losses.requests.entry(kind.clone()).or_default() += 1;
-        if let Some(cause) = cause(&kind, end.as_ref(), &notices, bounds) {
+        if let Some(cause) = find_cause(&kind, end.as_ref(), &notices, thresholds) {
             *losses.lost.entry((kind, cause)).or_default() += 1;
         }
     }
     losses
 }
 
-fn parse(text: &str) -> Option<Line> {
+fn parse_entry(text: &str) -> Option<LogEntry> {
     let from = text.find('{')?;
     serde_json::from_str(&text[from..]).ok()
 }
@@ -139,11 +139,11 @@
     )
 }
 
-fn cause(
+fn find_cause(
     kind: &str,
-    end: Option<&Line>,
+    end: Option<&LogEntry>,
     notices: &HashMap<String, u64>,
-    bounds: Bounds,
+    thresholds: Thresholds,
 ) -> Option<Cause> {
     let Some(end) = end else {
         return (kind == "stream").then_some(Cause::HostEnded);
@@ -151,31 +151,36 @@
     match end.name.as_str() {
         "CallerLeft" => Some(Cause::CallerLeft),
         "RequestRefused" => Some(Cause::Refused(end.code.clone().unwrap_or_default())),
-        "RequestFailed" if left_with_engine(end, notices) => Some(Cause::EngineLeft),
+        "RequestFailed" if broke_after_notice(end, notices) => Some(Cause::EngineLeft),
         "RequestFailed" => Some(Cause::Broken),
-        _ => late_or_failed(end, bounds),
+        _ => late_or_failed(end, thresholds),
     }
 }
 
-fn left_with_engine(end: &Line, notices: &HashMap<String, u64>) -> bool {
+fn broke_after_notice(end: &LogEntry, notices: &HashMap<String, u64>) -> bool {
     let notice = end
         .upstream
         .as_ref()
         .and_then(|upstream| notices.get(upstream));
-    notice.is_some_and(|at| u128::from(end.wall_ms.saturating_sub(*at)) < NOTICE_LASTS.as_millis())
+    notice.is_some_and(|at| {
+        u128::from(end.wall_ms.saturating_sub(*at)) < NOTICE_PERIOD_MAX.as_millis()
+    })
 }
 
-fn late_or_failed(end: &Line, bounds: Bounds) -> Option<Cause> {
+fn late_or_failed(end: &LogEntry, thresholds: Thresholds) -> Option<Cause> {
     if let Some(status) = end.status.filter(|status| *status >= 500) {
         return Some(Cause::UpstreamError(status));
     }
-    let millis = |bound: Duration| bound.as_secs_f64() * 1_000.0;
-    if end.first_ms.is_some_and(|ms| ms > millis(bounds.first)) {
-        return Some(Cause::LateFirst);
+    let millis = |limit: Duration| limit.as_secs_f64() * 1_000.0;
+    if end
+        .first_ms
+        .is_some_and(|ms| ms > millis(thresholds.first_event))
+    {
+        return Some(Cause::FirstEventLate);
     }
-    let pause_ms = end.gap_max_ms.unwrap_or(0) as f64;
+    let gap_ms = end.gap_max_ms.unwrap_or(0) as f64;
     let moved = end.moves.unwrap_or(0) > 0;
-    (pause_ms > millis(bounds.pause)).then_some(Cause::Paused { moved })
+    (gap_ms > millis(thresholds.gap)).then_some(Cause::Stalled { moved })
 }
 
 #[cfg(test)]
--- a/src/gateway/losses/tests.rs
+++ b/src/gateway/losses/tests.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-use super::Bounds;
 use super::Cause;
 use super::Losses;
+use super::Thresholds;
 use super::tally;
 
-const BOUNDS: Bounds = Bounds {
-    first: Duration::from_millis(1_500),
-    pause: Duration::from_millis(180),
+const THRESHOLDS: Thresholds = Thresholds {
+    first_event: Duration::from_millis(1_500),
+    gap: Duration::from_millis(180),
 };
 
 fn line(name: &str, wall_ms: u64, fields: &str) -> String {
@@ -19,17 +19,21 @@
     line(name, wall_ms, &fields)
 }
 
-fn of(lines: &[String]) -> Losses {
-    tally(lines.iter().map(String::as_str), BOUNDS)
+fn losses_of(lines: &[String]) -> Losses {
+    tally(lines.iter().map(String::as_str), THRESHOLDS)
 }
 
 fn lost(lines: &[String]) -> Vec<Cause> {
-    of(lines).lost.into_keys().map(|(_, cause)| cause).collect()
+    losses_of(lines)
+        .lost
+        .into_keys()
+        .map(|(_, cause)| cause)
+        .collect()
 }
 
 #[test]
 fn a_stream_in_time_is_no_loss() {
-    let losses = of(&[
+    let losses = losses_of(&[
         stream("RequestDispatched", 1, "r", ""),
         stream(
             "RequestComplete",
@@ -75,8 +79,8 @@
     );
     let refused = stream("RequestRefused", 2, "d", r#","code":"overloaded""#);
     let causes = lost(&[late, paused, failed, refused]);
-    assert!(causes.contains(&Cause::LateFirst));
-    assert!(causes.contains(&Cause::Paused { moved: true }));
+    assert!(causes.contains(&Cause::FirstEventLate));
+    assert!(causes.contains(&Cause::Stalled { moved: true }));
     assert!(causes.contains(&Cause::UpstreamError(500)));
     assert!(causes.contains(&Cause::Refused("overloaded".to_owned())));
 }
@@ -84,7 +88,7 @@
 #[test]
 fn what_stands_before_a_line_is_passed_over_and_other_text_counted() {
     let prefixed = format!("12.5 host-1 {}", stream("CallerLeft", 2, "r", ""));
-    let losses = of(&[prefixed, "a report".to_owned()]);
+    let losses = losses_of(&[prefixed, "a report".to_owned()]);
     assert_eq!(losses.lost.len(), 1);
     assert_eq!(losses.skipped, 1);
 }
