--- a/src/gateway/reportedloads.rs
+++ b/src/gateway/reportedloads.rs
@@ -11,7 +11,7 @@
 use crate::gateway::instance::InstanceKey;
 
 /// A word counts for so long: a few calls.
-const FRESH_FOR: Duration = Duration::from_millis(150);
+const REPORT_TTL: Duration = Duration::from_millis(150);
 
 /// What an upstream says of itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -34,28 +34,28 @@
 /// The last words of all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedLoads {
-    last: HashMap<InstanceKey, (Time, ReportedLoad)>,
+    latest: HashMap<InstanceKey, (Time, ReportedLoad)>,
 }
 
 impl ReportedLoads {
-    pub(crate) fn note(&mut self, now: Time, upstream: InstanceKey, reported: ReportedLoad) {
-        self.last.insert(upstream, (now, reported));
+    pub(crate) fn record(&mut self, now: Time, upstream: InstanceKey, reported: ReportedLoad) {
+        self.latest.insert(upstream, (now, reported));
     }
 
     /// What an upstream said of itself a moment ago.
     pub(crate) fn fresh(&self, now: Time, upstream: InstanceKey) -> Option<ReportedLoad> {
-        let (at, reported) = self.last.get(&upstream)?;
-        (now.since(*at) < FRESH_FOR).then_some(*reported)
+        let (at, reported) = self.latest.get(&upstream)?;
+        (now.since(*at) < REPORT_TTL).then_some(*reported)
     }
 
     /// Whether there is none at all.
     pub(crate) fn is_empty(&self) -> bool {
-        self.last.is_empty()
+        self.latest.is_empty()
     }
 
     /// Forgets what is not fresh any more.
-    pub(crate) fn lapse(&mut self, now: Time) {
-        self.last.retain(|_, (at, _)| now.since(*at) < FRESH_FOR);
+    pub(crate) fn expire(&mut self, now: Time) {
+        self.latest.retain(|_, (at, _)| now.since(*at) < REPORT_TTL);
     }
 }
 
--- a/src/gateway/reportedloads/tests.rs
+++ b/src/gateway/reportedloads/tests.rs
@@ -14,10 +14,10 @@
         slowness: 4.0,
     };
     let mut loads = ReportedLoads::default();
-    loads.note(Time::from_ms(1_000), upstream, reported);
+    loads.record(Time::from_ms(1_000), upstream, reported);
 
     assert_eq!(loads.fresh(Time::from_ms(1_100), upstream), Some(reported));
     assert_eq!(loads.fresh(Time::from_ms(1_150), upstream), None);
-    loads.lapse(Time::from_ms(1_150));
+    loads.expire(Time::from_ms(1_150));
     assert!(loads.is_empty());
 }
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -57,7 +57,7 @@
     pub(crate) fn note_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
         if let Some(reported) = self.protocol().reported_load(headers) {
             let now = self.now();
-            locked(&self.0.reported_loads).note(now, upstream.key(), reported);
+            locked(&self.0.reported_loads).record(now, upstream.key(), reported);
         }
     }
 
@@ -73,7 +73,7 @@
     /// Forgets what upstreams said of themselves a while ago.
     pub(crate) fn lapse_reported_loads(&self) {
         let now = self.now();
-        locked(&self.0.reported_loads).lapse(now);
+        locked(&self.0.reported_loads).expire(now);
     }
 
     /// A connection to an upstream was established.
