--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -12,21 +12,21 @@
 
 /// Cost of leaving the data centre, as a share of an upstream's room. Calls of plain services are
 /// short: a round trip weighs as much as about one request of six that runs there.
-const PLAIN_DISTANCE: f64 = 0.15;
+const CALL_REMOTE_COST: f64 = 0.15;
 /// Cost of leaving the data centre for a generation: a cut between data centres breaks what runs
 /// across it. At 0.12 more than a third of the generations ran far, and a cut took or stalled them; of
 /// 0.12, 0.3, 0.6 and 1.2 the last two served most (docs/MEASUREMENTS.md).
-const GENERATION_DISTANCE: f64 = 0.6;
+const GENERATION_REMOTE_COST: f64 = 0.6;
 /// Cost of leaving the data centre for a copy of memory: copies there took 0.5 s, near ones 0.2 s, and
 /// an engine that leaves lives for less than two.
-const COPY_DISTANCE: f64 = 0.5;
+const COPY_REMOTE_COST: f64 = 0.5;
 /// Prompts are read one after another, some 7 tokens a millisecond between the steps of what runs.
 /// So many unread tokens delay a first token by 1.4 s, about a whole objective, and weigh as much as
 /// a whole engine's memory.
 const UNREAD_SCALE_TOKENS: f64 = 6_000.0;
 /// Cost of each request that runs beside, as each slows the steps of the others a little (an
 /// engine's step grows by less than 2% a request).
-const NEIGHBOUR_COST: f64 = 0.008;
+const CONCURRENT_REQUEST_COST: f64 = 0.008;
 /// Random part of a score, so that hosts that see the same don't choose the same.
 const JITTER: f64 = 0.03;
 /// The same for generations that leave a full data centre while counts of the others are old: the
@@ -38,9 +38,9 @@
 
 /// While counts of other data centres are old, a generation stays near as long as an engine there has
 /// no more than this share of its memory taken,
-const NEAR_MEMORY_SHARE_MAX: f64 = 0.85;
+const LOCAL_MEMORY_SHARE_MAX: f64 = 0.85;
 /// and no more unread tokens than these: 0.6 s at 7 tokens a millisecond.
-const NEAR_UNREAD_TOKENS_MAX: u32 = 4_500;
+const LOCAL_UNREAD_TOKENS_MAX: u32 = 4_500;
 
 /// Upstreams of its data centre that a host looks at before all others. With thousands a look at each costs more than
 /// it finds: that the least loaded of so many is full is rare before nearly all are.
@@ -121,12 +121,12 @@
 }
 
 /// The share of a candidate's room that would be taken; lower is better.
-fn score(need: Need, candidate: &Candidate, here: &DataCentre) -> f64 {
-    let away = candidate.upstream.data_centre != *here;
-    let distance = if away { 1.0 } else { 0.0 };
+fn score(need: Need, candidate: &Candidate, local: &DataCentre) -> f64 {
+    let is_remote = candidate.upstream.data_centre != *local;
+    let remote = if is_remote { 1.0 } else { 0.0 };
     let requests = f64::from(candidate.load.requests);
     match need {
-        Need::Slot => slots_taken(candidate) + distance * PLAIN_DISTANCE,
+        Need::Slot => slot_share(candidate) + remote * CALL_REMOTE_COST,
         Need::Memory {
             tokens,
             prompt_tokens,
@@ -135,8 +135,8 @@
             let unread = f64::from(candidate.load.unread_tokens + prompt_tokens);
             unread / UNREAD_SCALE_TOKENS
                 + memory_share(candidate, tokens, memory_tokens)
-                + requests * NEIGHBOUR_COST
-                + distance * GENERATION_DISTANCE
+                + requests * CONCURRENT_REQUEST_COST
+                + remote * GENERATION_REMOTE_COST
         }
         Need::Copy {
             tokens,
@@ -144,20 +144,20 @@
         } => {
             f64::from(candidate.load.unread_tokens) / UNREAD_SCALE_TOKENS
                 + memory_share(candidate, tokens, memory_tokens)
-                + requests * NEIGHBOUR_COST
-                + distance * COPY_DISTANCE
+                + requests * CONCURRENT_REQUEST_COST
+                + remote * COPY_REMOTE_COST
         }
     }
 }
 
 /// The part of its slots that a plain service's upstream would have taken, longer work counting for more.
-fn slots_taken(candidate: &Candidate) -> f64 {
+fn slot_share(candidate: &Candidate) -> f64 {
     let slots = f64::from(candidate.upstream.slots.max(1));
-    let (told, slowness) = match candidate.reported {
+    let (reported_requests, slowness) = match candidate.reported {
         Some(reported) => (reported.requests(), reported.slowness),
         None => (0, 1.0),
     };
-    let requests = f64::from(candidate.load.requests.max(told));
+    let requests = f64::from(candidate.load.requests.max(reported_requests));
     (requests + 1.0) / slots * slowness
 }
 
@@ -173,8 +173,8 @@
             memory_tokens,
             ..
         } => {
-            memory_share(candidate, tokens, memory_tokens) <= NEAR_MEMORY_SHARE_MAX
-                && candidate.load.unread_tokens <= NEAR_UNREAD_TOKENS_MAX
+            memory_share(candidate, tokens, memory_tokens) <= LOCAL_MEMORY_SHARE_MAX
+                && candidate.load.unread_tokens <= LOCAL_UNREAD_TOKENS_MAX
         }
         Need::Slot | Need::Copy { .. } => false,
     }
@@ -198,34 +198,34 @@
 pub fn choose(
     need: Need,
     candidates: &[Candidate],
-    view: PlacementContext<'_>,
+    context: PlacementContext<'_>,
     mut draw: impl FnMut() -> f64,
 ) -> Option<Candidate> {
-    let sound = candidates.iter().filter(|candidate| !candidate.unhealthy);
-    let pool: Vec<&Candidate> = match sound.clone().next() {
-        Some(_) => sound.collect(),
+    let healthy = candidates.iter().filter(|candidate| !candidate.unhealthy);
+    let pool: Vec<&Candidate> = match healthy.clone().next() {
+        Some(_) => healthy.collect(),
         None => candidates.iter().collect(),
     };
-    let near: Vec<&Candidate> = match view.remote_counts {
+    let local: Vec<&Candidate> = match context.remote_counts {
         RemoteCounts::Fresh => Vec::new(),
         RemoteCounts::Stale => pool
             .iter()
             .copied()
-            .filter(|candidate| candidate.upstream.data_centre == *view.data_centre)
+            .filter(|candidate| candidate.upstream.data_centre == *context.data_centre)
             .filter(|candidate| has_room(need, candidate))
             .collect(),
     };
-    let spills = view.remote_counts == RemoteCounts::Stale && near.is_empty();
-    let pool = if near.is_empty() { pool } else { near };
+    let is_spill = context.remote_counts == RemoteCounts::Stale && local.is_empty();
+    let pool = if local.is_empty() { pool } else { local };
     let jitter = match need {
-        Need::Memory { .. } if spills => SPILL_JITTER,
+        Need::Memory { .. } if is_spill => SPILL_JITTER,
         Need::Slot | Need::Memory { .. } => JITTER,
         Need::Copy { .. } => COPY_JITTER,
     };
     pool.into_iter()
         .map(|candidate| {
             (
-                score(need, candidate, view.data_centre) + draw() * jitter,
+                score(need, candidate, context.data_centre) + draw() * jitter,
                 candidate,
             )
         })
