--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -19,7 +19,7 @@
 const SENDS_MAX: usize = 4;
 /// A request looks for an upstream that it can connect to for this part of its objective: after
 /// that it would be late, and a refusal in time lets its caller come back.
-const LOOK_OBJECTIVES: f64 = 0.5;
+const CONNECT_OBJECTIVE_SHARE: f64 = 0.5;
 
 /// Whether a try reached its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,24 +32,24 @@
 
 /// Whether a request goes to another upstream after a failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verdict {
+enum RetryDecision {
     /// It does.
-    GoesOn,
+    Retry,
     /// It was sent as often as a request may be.
-    SentOften,
+    SendLimit,
     /// The retry budget of its service has no room.
     NoBudget,
     /// It would be answered late.
     TooLate,
 }
 
-impl Verdict {
+impl RetryDecision {
     fn name(self) -> &'static str {
         match self {
-            Verdict::GoesOn => "goes_on",
-            Verdict::SentOften => "sent_often",
-            Verdict::NoBudget => "no_budget",
-            Verdict::TooLate => "too_late",
+            RetryDecision::Retry => "goes_on",
+            RetryDecision::SendLimit => "sent_often",
+            RetryDecision::NoBudget => "no_budget",
+            RetryDecision::TooLate => "too_late",
         }
     }
 }
@@ -83,16 +83,17 @@
         &mut self,
         shared: &Shared,
         admitted: &Admitted,
-        reached: Delivery,
+        delivery: Delivery,
         reason: &str,
     ) -> bool {
         let hosts = shared.sharing_hosts();
-        let (verdict, balance) = match reached {
-            Delivery::Unreachable => (self.look_further(admitted), None),
-            Delivery::Sent => self.send_again(shared, &admitted.service, hosts),
+        let (decision, balance) = match delivery {
+            Delivery::Unreachable => (self.check_time_limit(admitted), None),
+            Delivery::Sent => self.take_retry(shared, &admitted.service, hosts),
         };
-        let line = admitted.line(shared, EventCode::RequestRestarted);
-        line.with_some("upstream", self.upstreams.last().map(InstanceId::as_str))
+        let entry = admitted.line(shared, EventCode::RequestRestarted);
+        entry
+            .with_some("upstream", self.upstreams.last().map(InstanceId::as_str))
             .with("reason", reason)
             .with("tries", self.len())
             .with("sent", self.sent)
@@ -100,47 +101,47 @@
             .with_some("budget_requests", balance.map(|balance| balance.requests))
             .with_some("budget_retries", balance.map(|balance| balance.retries))
             .with_some("budget_allowed", balance.map(|balance| balance.allowed))
-            .with("verdict", verdict.name())
-            .with("retried", verdict == Verdict::GoesOn)
+            .with("verdict", decision.name())
+            .with("retried", decision == RetryDecision::Retry)
             .write();
         // A further try is for the request's sake alone.
         admitted.track.set(Track::Proved);
-        verdict == Verdict::GoesOn
+        decision == RetryDecision::Retry
     }
 
-    fn look_further(&self, admitted: &Admitted) -> Verdict {
-        let patience = admitted.route.objective.mul_f64(LOOK_OBJECTIVES);
-        match self.may_look_further(admitted.arrived.elapsed(), patience) {
-            true => Verdict::GoesOn,
-            false => Verdict::TooLate,
+    fn check_time_limit(&self, admitted: &Admitted) -> RetryDecision {
+        let time_limit = admitted.route.objective.mul_f64(CONNECT_OBJECTIVE_SHARE);
+        match self.may_try_another(admitted.arrived.elapsed(), time_limit) {
+            true => RetryDecision::Retry,
+            false => RetryDecision::TooLate,
         }
     }
 
     /// Takes a retry out of the budget. Tells also what the budget held before, if it was asked.
-    fn send_again(
+    fn take_retry(
         &mut self,
         shared: &Shared,
         service: &ServiceId,
         hosts: usize,
-    ) -> (Verdict, Option<Balance>) {
+    ) -> (RetryDecision, Option<Balance>) {
         self.sent += 1;
         if self.sent >= SENDS_MAX {
-            return (Verdict::SentOften, None);
+            return (RetryDecision::SendLimit, None);
         }
         let now = shared.now();
         let (balance, is_allowed) = shared.budget(service, |budget| {
             (budget.balance(now, hosts), budget.try_retry(now, hosts))
         });
         telemetry::count_retry(service, is_allowed);
-        let verdict = match is_allowed {
-            true => Verdict::GoesOn,
-            false => Verdict::NoBudget,
+        let decision = match is_allowed {
+            true => RetryDecision::Retry,
+            false => RetryDecision::NoBudget,
         };
-        (verdict, Some(balance))
+        (decision, Some(balance))
     }
 
-    fn may_look_further(&self, elapsed: Duration, patience: Duration) -> bool {
-        self.len() < SENDS_MAX || elapsed < patience
+    fn may_try_another(&self, elapsed: Duration, time_limit: Duration) -> bool {
+        self.len() < SENDS_MAX || elapsed < time_limit
     }
 }
 
--- a/src/gateway/attempts/tests.rs
+++ b/src/gateway/attempts/tests.rs
@@ -5,29 +5,29 @@
 use crate::gateway::instance::InstanceId;
 use crate::id::UpstreamId;
 
-fn tries(count: usize) -> Attempts {
-    let mut tries = Attempts::default();
+fn attempts(count: usize) -> Attempts {
+    let mut attempts = Attempts::default();
     for index in 0..count {
-        tries.add(&InstanceId::from(UpstreamId::new(format!(
+        attempts.add(&InstanceId::from(UpstreamId::new(format!(
             "upstream-{index}"
         ))));
     }
-    tries
+    attempts
 }
 
-const PATIENCE: Duration = Duration::from_millis(900);
+const TIME_LIMIT: Duration = Duration::from_millis(900);
 
 #[test]
-fn the_first_upstreams_are_tried_however_long_it_takes() {
-    let tries = tries(SENDS_MAX - 1);
+fn the_first_upstreams_are_tried_beyond_the_time_limit() {
+    let attempts = attempts(SENDS_MAX - 1);
 
-    assert!(tries.may_look_further(PATIENCE * 2, PATIENCE));
+    assert!(attempts.may_try_another(TIME_LIMIT * 2, TIME_LIMIT));
 }
 
 #[test]
-fn further_ones_are_tried_while_the_answer_may_be_in_time() {
-    let tries = tries(SENDS_MAX + 10);
+fn more_upstreams_are_tried_only_within_the_time_limit() {
+    let attempts = attempts(SENDS_MAX + 10);
 
-    assert!(tries.may_look_further(PATIENCE - Duration::from_millis(1), PATIENCE));
-    assert!(!tries.may_look_further(PATIENCE, PATIENCE));
+    assert!(attempts.may_try_another(TIME_LIMIT - Duration::from_millis(1), TIME_LIMIT));
+    assert!(!attempts.may_try_another(TIME_LIMIT, TIME_LIMIT));
 }
