--- a/src/gateway/retrybudget/tests.rs
+++ b/src/gateway/retrybudget/tests.rs
@@ -13,50 +13,56 @@
 };
 
 /// Draws nothing.
-const NO_LOT: f64 = 1.0;
+const NO_ROUND_UP: f64 = 1.0;
 
 /// The process has run for longer than a window.
 const NOW: Time = Time::from_ms(60_000);
 
-fn retries(budget: &mut SharedRetryBudget, now: Time, hosts: usize) -> usize {
+fn take_retries(budget: &mut SharedRetryBudget, now: Time, hosts: usize) -> usize {
     (0..1_000)
         .take_while(|_| budget.try_retry(now, hosts))
         .count()
 }
 
 #[test]
-fn hosts_together_stay_within_the_whole() {
+fn hosts_together_stay_within_the_budget() {
     let hosts = 8;
     let requests = 100;
-    let mut sum = 0;
+    let mut retried = 0;
     for _ in 0..hosts {
-        let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
+        let mut budget = SharedRetryBudget::new(OPTIONS, NO_ROUND_UP);
         for _ in 0..requests {
             budget.record_request(NOW);
         }
-        sum += retries(&mut budget, NOW + Duration::from_millis(1), hosts);
+        retried += take_retries(&mut budget, NOW + Duration::from_millis(1), hosts);
     }
 
-    let whole = OPTIONS.ratio * (hosts * requests) as f64 + OPTIONS.allowance;
-    assert!(sum as f64 <= whole, "{sum} of {whole}");
-    assert!(sum as f64 > whole / 2.0, "{sum} of {whole}");
+    let budget_total = OPTIONS.ratio * (hosts * requests) as f64 + OPTIONS.allowance;
+    assert!(
+        retried as f64 <= budget_total,
+        "{retried} of {budget_total}"
+    );
+    assert!(
+        retried as f64 > budget_total / 2.0,
+        "{retried} of {budget_total}"
+    );
 }
 
 #[test]
 fn the_window_slides() {
-    let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
-    let first = retries(&mut budget, NOW, 1);
+    let mut budget = SharedRetryBudget::new(OPTIONS, NO_ROUND_UP);
+    let first = take_retries(&mut budget, NOW, 1);
 
-    let soon = retries(&mut budget, NOW + Duration::from_millis(9_000), 1);
-    let later = retries(&mut budget, NOW + Duration::from_millis(10_001), 1);
+    let soon = take_retries(&mut budget, NOW + Duration::from_millis(9_000), 1);
+    let later = take_retries(&mut budget, NOW + Duration::from_millis(10_001), 1);
 
     assert_eq!(soon, 0);
     assert_eq!(later, first);
 }
 
 #[test]
-fn what_is_charged_leaves_less() {
-    let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
+fn charged_retries_count_against_the_budget() {
+    let mut budget = SharedRetryBudget::new(OPTIONS, NO_ROUND_UP);
     for _ in 0..1_000 {
         budget.charge(NOW);
     }
@@ -65,21 +71,21 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_takes_nothing_of_the_allowance() {
-    let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
+fn a_process_that_has_just_started_gets_no_allowance() {
+    let mut budget = SharedRetryBudget::new(OPTIONS, NO_ROUND_UP);
 
-    assert_eq!(retries(&mut budget, Time::ZERO, 1), 0);
+    assert_eq!(take_retries(&mut budget, Time::ZERO, 1), 0);
 }
 
 #[test]
-fn a_process_in_its_first_window_retries_by_its_requests_and_its_age() {
-    let mut budget = SharedRetryBudget::new(OPTIONS, NO_LOT);
+fn the_first_window_allows_retries_by_requests_and_uptime() {
+    let mut budget = SharedRetryBudget::new(OPTIONS, NO_ROUND_UP);
     let half = Time::ZERO + OPTIONS.window / 2;
     for _ in 0..100 {
         budget.record_request(half);
     }
 
-    let taken = retries(&mut budget, half, 1);
+    let taken = take_retries(&mut budget, half, 1);
 
     assert_eq!(taken, (0.4 * (0.2 * 100.0 + 40.0 / 2.0)) as usize);
 }
