--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -22,7 +22,7 @@
 use crate::id::HostId;
 
 /// What a peer told counts for this long: two rounds between data centres, or a short cut.
-const PEER_COUNT_LASTS: Duration = Duration::from_millis(4_000);
+const PEER_REPORT_TTL: Duration = Duration::from_millis(4_000);
 
 /// Work at an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,8 +51,8 @@
 
 /// One host's counts.
 #[derive(Debug, Clone)]
-struct PeerLoads {
-    at: Time,
+struct PeerReport {
+    received_at: Time,
     loads: HashMap<InstanceKey, Load>,
 }
 
@@ -76,24 +76,30 @@
 #[derive(Debug, Default)]
 pub struct Loads {
     own: BTreeMap<InstanceId, Load>,
-    peers: HashMap<ReportSource, PeerLoads>,
+    peers: HashMap<ReportSource, PeerReport>,
     /// Of what all peers tell.
     sums: HashMap<InstanceKey, Load>,
 }
 
 impl Loads {
     /// Takes a peer's counts.
-    pub fn receive(&mut self, now: Time, teller: ReportSource, loads: Vec<(InstanceKey, Load)>) {
+    pub fn receive(&mut self, now: Time, source: ReportSource, loads: Vec<(InstanceKey, Load)>) {
         let loads: HashMap<InstanceKey, Load> = loads.into_iter().collect();
         for (key, load) in &loads {
             self.sums.entry(*key).or_default().add(*load);
         }
-        let before = self.peers.insert(teller, PeerLoads { at: now, loads });
-        self.forget(before.as_slice());
+        let previous = self.peers.insert(
+            source,
+            PeerReport {
+                received_at: now,
+                loads,
+            },
+        );
+        self.subtract_reports(previous.as_slice());
     }
 
-    fn forget(&mut self, told: &[PeerLoads]) {
-        for (key, load) in told.iter().flat_map(|told| &told.loads) {
+    fn subtract_reports(&mut self, reports: &[PeerReport]) {
+        for (key, load) in reports.iter().flat_map(|report| &report.loads) {
             let Some(sum) = self.sums.get_mut(key) else {
                 continue;
             };
@@ -106,10 +112,10 @@
 
     /// Forgets peers that are silent.
     pub fn expire(&mut self, now: Time) {
-        let is_silent = |peer: &PeerLoads| now.since(peer.at) >= PEER_COUNT_LASTS;
-        let silent = self.peers.extract_if(|_, peer| is_silent(peer));
-        let silent: Vec<PeerLoads> = silent.map(|(_, peer)| peer).collect();
-        self.forget(&silent);
+        let is_expired = |peer: &PeerReport| now.since(peer.received_at) >= PEER_REPORT_TTL;
+        let expired = self.peers.extract_if(|_, peer| is_expired(peer));
+        let expired: Vec<PeerReport> = expired.map(|(_, peer)| peer).collect();
+        self.subtract_reports(&expired);
     }
 
     /// All that runs at an upstream.
@@ -126,22 +132,23 @@
             .collect()
     }
 
-    /// What runs at the upstreams of this data centre, as `is_home` tells, but for what hosts of `receiver` run there, for these.
+    /// What runs at the upstreams of this data centre, as `is_local` tells, but for what hosts of `receiver` run there, for these.
     pub fn summary_for(
         &self,
-        is_home: impl Fn(InstanceKey) -> bool,
+        is_local: impl Fn(InstanceKey) -> bool,
         receiver: &DataCentre,
     ) -> Vec<(InstanceKey, Load)> {
-        let is_told = |teller: &ReportSource| match teller {
+        let is_included = |source: &ReportSource| match source {
             ReportSource::Host(_) => true,
             ReportSource::RemoteHost { data_centre, .. } => data_centre != receiver,
             ReportSource::DataCentre(_) => false,
         };
-        let told = self.peers.iter().filter(|(teller, _)| is_told(teller));
-        let told = told.flat_map(|(_, told)| told.loads.iter().map(|(key, load)| (*key, *load)));
+        let reported = self.peers.iter().filter(|(source, _)| is_included(source));
+        let reported =
+            reported.flat_map(|(_, report)| report.loads.iter().map(|(key, load)| (*key, *load)));
         let mut sums: BTreeMap<InstanceKey, Load> = BTreeMap::new();
-        for (key, load) in self.own().into_iter().chain(told) {
-            if is_home(key) {
+        for (key, load) in self.own().into_iter().chain(reported) {
+            if is_local(key) {
                 sums.entry(key).or_default().add(load);
             }
         }
@@ -151,33 +158,33 @@
     /// What this host runs, by the data centre of the upstream that `place` tells.
     pub fn own_by_data_centre(
         &self,
-        place: impl Fn(&InstanceId) -> Option<DataCentre>,
+        data_centre_of: impl Fn(&InstanceId) -> Option<DataCentre>,
     ) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
-        let mut by_place: BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> = BTreeMap::new();
         for (upstream, load) in &self.own {
-            if let Some(data_centre) = place(upstream) {
-                by_place
+            if let Some(data_centre) = data_centre_of(upstream) {
+                by_data_centre
                     .entry(data_centre)
                     .or_default()
                     .push((upstream.key(), *load));
             }
         }
-        by_place
+        by_data_centre
     }
 
-    /// Time since a data centre's last word.
+    /// Time since a data centre's last report.
     pub fn report_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
-        let word = self
+        let report = self
             .peers
             .get(&ReportSource::DataCentre(data_centre.clone()));
-        word.map(|word| now.since(word.at))
+        report.map(|report| now.since(report.received_at))
     }
 
-    fn start(&mut self, upstream: &InstanceId, load: Load) {
+    fn add_own(&mut self, upstream: &InstanceId, load: Load) {
         self.own.entry(upstream.clone()).or_default().add(load);
     }
 
-    fn end(&mut self, upstream: &InstanceId, load: Load) {
+    fn subtract_own(&mut self, upstream: &InstanceId, load: Load) {
         let Some(sum) = self.own.get_mut(upstream) else {
             return;
         };
@@ -193,9 +200,9 @@
 pub struct SharedLoads(Arc<Mutex<Loads>>);
 
 impl SharedLoads {
-    /// Runs `use_loads` on the counts.
-    pub fn with<T>(&self, use_loads: impl FnOnce(&mut Loads) -> T) -> T {
-        use_loads(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Runs `access` on the counts.
+    pub fn with<T>(&self, access: impl FnOnce(&mut Loads) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// Counts one request at an upstream until the guard is dropped. Its prompt counts as unread
@@ -206,9 +213,9 @@
             tokens,
             unread_tokens: prompt_tokens,
         };
-        self.with(|loads| loads.start(upstream, load));
+        self.with(|loads| loads.add_own(upstream, load));
         LoadGuard {
-            board: self.clone(),
+            shared: self.clone(),
             upstream: upstream.clone(),
             load,
         }
@@ -218,7 +225,7 @@
 /// Work that is counted at an upstream.
 #[derive(Debug)]
 pub struct LoadGuard {
-    board: SharedLoads,
+    shared: SharedLoads,
     upstream: InstanceId,
     load: Load,
 }
@@ -232,17 +239,18 @@
         };
         self.load.add(more);
         let upstream = &self.upstream;
-        self.board.with(|loads| loads.start(upstream, more));
+        self.shared.with(|loads| loads.add_own(upstream, more));
     }
 
     /// The upstream has read the request's prompt.
     pub fn mark_prompt_read(&mut self) {
-        let read = Load {
+        let unread = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
             ..Load::default()
         };
         let upstream = &self.upstream;
-        self.board.with(|loads| loads.end(upstream, read));
+        self.shared
+            .with(|loads| loads.subtract_own(upstream, unread));
     }
 }
 
@@ -250,7 +258,7 @@
     fn drop(&mut self) {
         let upstream = &self.upstream;
         let load = self.load;
-        self.board.with(|loads| loads.end(upstream, load));
+        self.shared.with(|loads| loads.subtract_own(upstream, load));
     }
 }
 
--- a/src/gateway/loads/tests.rs
+++ b/src/gateway/loads/tests.rs
@@ -22,147 +22,147 @@
 }
 
 #[test]
-fn work_counts_until_its_guard_is_dropped() {
-    let board = SharedLoads::default();
-    let first = board.add_request(&upstream(), 300, 200);
-    let second = board.add_request(&upstream(), 50, 0);
-    let both = board.with(|loads| loads.at(&upstream()));
+fn a_request_counts_until_its_guard_is_dropped() {
+    let shared = SharedLoads::default();
+    let first = shared.add_request(&upstream(), 300, 200);
+    let second = shared.add_request(&upstream(), 50, 0);
+    let both = shared.with(|loads| loads.at(&upstream()));
 
     drop(first);
-    let one = board.with(|loads| loads.at(&upstream()));
+    let one = shared.with(|loads| loads.at(&upstream()));
     drop(second);
 
     assert_eq!(both, load(2, 350, 200));
     assert_eq!(one, load(1, 50, 0));
-    assert!(board.with(|loads| loads.own()).is_empty());
+    assert!(shared.with(|loads| loads.own()).is_empty());
 }
 
 #[test]
-fn a_prompt_that_was_read_is_waited_for_no_more() {
-    let board = SharedLoads::default();
-    let mut work = board.add_request(&upstream(), 300, 200);
+fn a_prompt_that_was_read_no_longer_counts_as_unread() {
+    let shared = SharedLoads::default();
+    let mut guard = shared.add_request(&upstream(), 300, 200);
 
-    work.mark_prompt_read();
-    let read = board.with(|loads| loads.at(&upstream()));
-    drop(work);
+    guard.mark_prompt_read();
+    let read = shared.with(|loads| loads.at(&upstream()));
+    drop(guard);
 
     assert_eq!(read, load(1, 300, 0));
-    assert_eq!(board.with(|loads| loads.at(&upstream())), Load::default());
+    assert_eq!(shared.with(|loads| loads.at(&upstream())), Load::default());
 }
 
 #[test]
-fn work_that_grows_counts_as_what_it_has_grown_to_and_ends_whole() {
-    let board = SharedLoads::default();
-    let mut work = board.add_request(&upstream(), 300, 0);
+fn a_grown_request_counts_in_full_and_is_removed_in_full() {
+    let shared = SharedLoads::default();
+    let mut guard = shared.add_request(&upstream(), 300, 0);
 
-    work.grow_to(500);
-    work.grow_to(400);
-    let grown = board.with(|loads| loads.at(&upstream()));
-    drop(work);
+    guard.grow_to(500);
+    guard.grow_to(400);
+    let grown = shared.with(|loads| loads.at(&upstream()));
+    drop(guard);
 
     assert_eq!(grown, load(1, 500, 0));
-    assert_eq!(board.with(|loads| loads.at(&upstream())), Load::default());
+    assert_eq!(shared.with(|loads| loads.at(&upstream())), Load::default());
 }
 
 #[test]
-fn peers_count_until_they_are_silent() {
-    let board = SharedLoads::default();
-    let _own = board.add_request(&upstream(), 10, 0);
-    let told = vec![(upstream().key(), load(2, 90, 5))];
-    board.with(|loads| loads.receive(Time::ZERO, ReportSource::Host(HostId::new("peer")), told));
-    let heard = board.with(|loads| loads.at(&upstream()));
+fn peer_reports_count_until_they_expire() {
+    let shared = SharedLoads::default();
+    let _own = shared.add_request(&upstream(), 10, 0);
+    let report = vec![(upstream().key(), load(2, 90, 5))];
+    shared.with(|loads| loads.receive(Time::ZERO, ReportSource::Host(HostId::new("peer")), report));
+    let received = shared.with(|loads| loads.at(&upstream()));
 
-    board.with(|loads| loads.expire(Time::from_ms(4_000)));
+    shared.with(|loads| loads.expire(Time::from_ms(4_000)));
 
-    assert_eq!(heard, load(3, 100, 5));
-    assert_eq!(board.with(|loads| loads.at(&upstream())), load(1, 10, 0));
+    assert_eq!(received, load(3, 100, 5));
+    assert_eq!(shared.with(|loads| loads.at(&upstream())), load(1, 10, 0));
 }
 
 #[test]
-fn a_peers_later_word_replaces_its_earlier_one() {
-    let board = SharedLoads::default();
+fn a_later_peer_report_replaces_the_earlier_one() {
+    let shared = SharedLoads::default();
     let peer = ReportSource::Host(HostId::new("peer"));
-    let told = vec![(upstream().key(), load(2, 90, 5))];
-    board.with(|loads| loads.receive(Time::ZERO, peer.clone(), told));
+    let report = vec![(upstream().key(), load(2, 90, 5))];
+    shared.with(|loads| loads.receive(Time::ZERO, peer.clone(), report));
 
-    board.with(|loads| loads.receive(Time::from_ms(5), peer, Vec::new()));
+    shared.with(|loads| loads.receive(Time::from_ms(5), peer, Vec::new()));
 
-    assert_eq!(board.with(|loads| loads.at(&upstream())), Load::default());
+    assert_eq!(shared.with(|loads| loads.at(&upstream())), Load::default());
 }
 
 #[test]
-fn a_data_centre_is_counted_once_whoever_tells_of_it() {
-    let board = SharedLoads::default();
+fn reports_of_one_data_centre_replace_each_other() {
+    let shared = SharedLoads::default();
     let south = ReportSource::DataCentre(DataCentre::new("south"));
-    for told in [load(7, 700, 70), load(8, 800, 80)] {
-        let told = vec![(upstream().key(), told)];
-        board.with(|loads| loads.receive(Time::ZERO, south.clone(), told));
+    for report in [load(7, 700, 70), load(8, 800, 80)] {
+        let report = vec![(upstream().key(), report)];
+        shared.with(|loads| loads.receive(Time::ZERO, south.clone(), report));
     }
 
-    assert_eq!(board.with(|loads| loads.at(&upstream())), load(8, 800, 80));
+    assert_eq!(shared.with(|loads| loads.at(&upstream())), load(8, 800, 80));
 }
 
 #[test]
-fn a_data_centre_tells_all_that_its_upstreams_run_but_what_the_listener_knows_itself() {
-    let board = SharedLoads::default();
+fn a_summary_leaves_out_the_requests_of_its_receiver() {
+    let shared = SharedLoads::default();
     let elsewhere = InstanceId::from(UpstreamId::new("b"));
-    let _own = board.add_request(&upstream(), 10, 0);
-    let _visit = board.add_request(&elsewhere, 10, 0);
-    let visitor = |from: &str| ReportSource::RemoteHost {
+    let _own = shared.add_request(&upstream(), 10, 0);
+    let _remote = shared.add_request(&elsewhere, 10, 0);
+    let remote_host = |from: &str| ReportSource::RemoteHost {
         host: HostId::new(from),
         data_centre: DataCentre::new(from),
     };
     let near = ReportSource::Host(HostId::new("near"));
     let far = ReportSource::DataCentre(DataCentre::new("south"));
-    for teller in [near, far, visitor("south"), visitor("east")] {
-        let told = vec![(upstream().key(), load(2, 90, 5))];
-        board.with(|loads| loads.receive(Time::ZERO, teller, told));
+    for source in [near, far, remote_host("south"), remote_host("east")] {
+        let report = vec![(upstream().key(), load(2, 90, 5))];
+        shared.with(|loads| loads.receive(Time::ZERO, source, report));
     }
-    let home = HashSet::from([upstream().key()]);
-    let told = |to: &str| {
-        board.with(|loads| loads.summary_for(|key| home.contains(&key), &DataCentre::new(to)))
+    let local = HashSet::from([upstream().key()]);
+    let report = |to: &str| {
+        shared.with(|loads| loads.summary_for(|key| local.contains(&key), &DataCentre::new(to)))
     };
 
     // Its own, a neighbour's, and those of the visitors from elsewhere.
-    assert_eq!(told("south"), [(upstream().key(), load(5, 190, 10))]);
-    assert_eq!(told("west"), [(upstream().key(), load(7, 280, 15))]);
+    assert_eq!(report("south"), [(upstream().key(), load(5, 190, 10))]);
+    assert_eq!(report("west"), [(upstream().key(), load(7, 280, 15))]);
 }
 
 #[test]
-fn what_a_host_runs_elsewhere_is_told_there() {
-    let board = SharedLoads::default();
+fn own_loads_are_grouped_by_data_centre() {
+    let shared = SharedLoads::default();
     let elsewhere = InstanceId::from(UpstreamId::new("b"));
-    let _home = board.add_request(&upstream(), 10, 0);
-    let _visit = board.add_request(&elsewhere, 20, 4);
-    let place = |id: &InstanceId| match id.as_str() {
+    let _local = shared.add_request(&upstream(), 10, 0);
+    let _remote = shared.add_request(&elsewhere, 20, 4);
+    let data_centre_of = |id: &InstanceId| match id.as_str() {
         "a" => Some(DataCentre::new("north")),
         _ => Some(DataCentre::new("south")),
     };
 
-    let by_place = board.with(|loads| loads.own_by_data_centre(place));
+    let by_data_centre = shared.with(|loads| loads.own_by_data_centre(data_centre_of));
 
-    let south = &by_place[&DataCentre::new("south")];
+    let south = &by_data_centre[&DataCentre::new("south")];
     assert_eq!(south, &[(elsewhere.key(), load(1, 20, 4))]);
 }
 
 // A look at one upstream walked all hosts.
 #[test]
-fn sums_kept_as_peers_tell_are_those_of_what_they_told_last() {
-    let board = SharedLoads::default();
+fn sums_match_the_latest_report_of_each_peer() {
+    let shared = SharedLoads::default();
     let host = |index: u32| ReportSource::Host(HostId::new(format!("host-{index}")));
     let key = upstream().key();
     for index in 0..30 {
-        let told = vec![(key, load(index, 10, 0))];
-        board.with(|loads| loads.receive(Time::ZERO, host(index), told));
+        let report = vec![(key, load(index, 10, 0))];
+        shared.with(|loads| loads.receive(Time::ZERO, host(index), report));
     }
     for index in 0..10 {
-        let told = vec![(key, load(1, 7, 3))];
-        board.with(|loads| loads.receive(Time::from_ms(3_000), host(index), told));
+        let report = vec![(key, load(1, 7, 3))];
+        shared.with(|loads| loads.receive(Time::from_ms(3_000), host(index), report));
     }
-    board.with(|loads| loads.receive(Time::from_ms(3_000), host(10), Vec::new()));
+    shared.with(|loads| loads.receive(Time::from_ms(3_000), host(10), Vec::new()));
 
-    let all = board.with(|loads| loads.at(&upstream()));
-    let left = board.with(|loads| {
+    let all = shared.with(|loads| loads.at(&upstream()));
+    let left = shared.with(|loads| {
         loads.expire(Time::from_ms(4_500));
         loads.at(&upstream())
     });
