--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     until: Time,
-    next: Duration,
+    next_delay: Duration,
     /// Whether this host saw it itself.
     is_own: bool,
 }
@@ -33,8 +33,8 @@
 /// What is known of connections to one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct Record {
-    failing: Option<Backoff>,
-    reached_at: Option<Time>,
+    backoff: Option<Backoff>,
+    connected_at: Option<Time>,
 }
 
 /// What is known of connections to all upstreams.
@@ -47,62 +47,62 @@
     /// A connection could not be established. True if the upstream could be reached before.
     pub fn record_failure(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
-        let known = record.failing;
-        if known.is_some_and(|failing| failing.is_own && failing.until > now) {
+        let previous = record.backoff;
+        if previous.is_some_and(|backoff| backoff.is_own && backoff.until > now) {
             return false;
         }
-        let pause = match known {
-            Some(failing) if failing.is_own => failing.next,
+        let delay = match previous {
+            Some(backoff) if backoff.is_own => backoff.next_delay,
             Some(_) | None => BACKOFF_MIN,
         };
-        record.failing = Some(Backoff {
-            until: now + pause,
-            next: (pause * 2).min(BACKOFF_MAX),
+        record.backoff = Some(Backoff {
+            until: now + delay,
+            next_delay: (delay * 2).min(BACKOFF_MAX),
             is_own: true,
         });
-        known.is_none()
+        previous.is_none()
     }
 
     /// Another host of the data centre could not connect. True if that is news.
     pub fn receive_report(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
-        let seen = record.reached_at;
-        let reached_lately = seen.is_some_and(|at| now.since(at) < OWN_SUCCESS_TTL);
-        let known = record.failing;
-        if reached_lately || known.is_some_and(|failing| failing.until > now) {
+        let connected_at = record.connected_at;
+        let recently_connected = connected_at.is_some_and(|at| now.since(at) < OWN_SUCCESS_TTL);
+        let previous = record.backoff;
+        if recently_connected || previous.is_some_and(|backoff| backoff.until > now) {
             return false;
         }
-        record.failing = Some(Backoff {
+        record.backoff = Some(Backoff {
             until: now + BACKOFF_MIN,
-            next: known.map_or(BACKOFF_MIN, |failing| failing.next),
+            next_delay: previous.map_or(BACKOFF_MIN, |backoff| backoff.next_delay),
             is_own: false,
         });
-        known.is_none()
+        previous.is_none()
     }
 
     /// A connection was established. True if it could not before.
     pub fn record_success(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
-        record.reached_at = Some(now);
-        record.failing.take().is_some()
+        record.connected_at = Some(now);
+        record.backoff.take().is_some()
     }
 
     /// Whether an upstream is to be passed over.
     pub fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.get(upstream);
-        let failing = record.and_then(|record| record.failing);
-        failing.is_some_and(|failing| failing.until > now)
+        let backoff = record.and_then(|record| record.backoff);
+        backoff.is_some_and(|backoff| backoff.until > now)
     }
 
     /// What this host itself can't connect to now, for its peers.
     pub fn own_failures(&self, now: Time) -> Vec<InstanceId> {
-        let failing = |record: &Record| {
-            let failing = record.failing;
-            failing.is_some_and(|failing| failing.is_own && failing.until > now)
+        let is_own_failure = |record: &Record| {
+            let backoff = record.backoff;
+            backoff.is_some_and(|backoff| backoff.is_own && backoff.until > now)
         };
         let records = self.records.iter();
         records
-            .filter(|(_, record)| failing(record))
+            .filter(|(_, record)| is_own_failure(record))
             .map(|(id, _)| id.clone())
             .collect()
     }
--- a/src/gateway/reachability/tests.rs
+++ b/src/gateway/reachability/tests.rs
@@ -8,18 +8,18 @@
 }
 
 #[test]
-fn one_failed_connection_passes_an_upstream_over_for_a_while() {
+fn one_failed_connection_backs_off_from_an_upstream() {
     let mut reachability = Reachability::default();
 
-    let news = reachability.record_failure(Time::ZERO, &upstream());
+    let is_new = reachability.record_failure(Time::ZERO, &upstream());
 
-    assert!(news);
+    assert!(is_new);
     assert!(reachability.is_unreachable(Time::from_ms(799), &upstream()));
     assert!(!reachability.is_unreachable(Time::from_ms(800), &upstream()));
 }
 
 #[test]
-fn further_failures_double_the_time_up_to_a_bound() {
+fn repeated_failures_double_the_backoff_up_to_the_maximum() {
     let mut reachability = Reachability::default();
     let mut now = Time::ZERO;
     for _ in 0..6 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn failures_at_the_same_time_count_once() {
+fn concurrent_failures_count_once() {
     let mut reachability = Reachability::default();
     reachability.record_failure(Time::ZERO, &upstream());
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_connection_clears_the_mark() {
+fn a_successful_connection_ends_the_backoff() {
     let mut reachability = Reachability::default();
     reachability.record_failure(Time::ZERO, &upstream());
 
@@ -59,18 +59,18 @@
 }
 
 #[test]
-fn a_peers_word_passes_an_upstream_over_for_a_while() {
+fn a_peer_report_backs_off_from_an_upstream() {
     let mut reachability = Reachability::default();
 
-    let news = reachability.receive_report(Time::ZERO, &upstream());
+    let is_new = reachability.receive_report(Time::ZERO, &upstream());
 
-    assert!(news);
+    assert!(is_new);
     assert!(reachability.is_unreachable(Time::from_ms(799), &upstream()));
     assert!(!reachability.is_unreachable(Time::from_ms(800), &upstream()));
 }
 
 #[test]
-fn a_peers_word_counts_for_nothing_against_a_connection_of_a_moment_ago() {
+fn a_recent_connection_outweighs_a_peer_report() {
     let mut reachability = Reachability::default();
     reachability.record_success(Time::ZERO, &upstream());
 
@@ -82,10 +82,10 @@
 }
 
 #[test]
-fn only_what_a_host_saw_itself_is_told() {
+fn only_own_failures_are_announced() {
     let mut reachability = Reachability::default();
-    let heard = InstanceId::from(UpstreamId::new("heard"));
-    reachability.receive_report(Time::ZERO, &heard);
+    let reported = InstanceId::from(UpstreamId::new("reported"));
+    reachability.receive_report(Time::ZERO, &reported);
     reachability.record_failure(Time::ZERO, &upstream());
 
     assert_eq!(reachability.own_failures(Time::ZERO), [upstream()]);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_upstream_that_is_gone_is_forgotten() {
+fn a_removed_upstream_has_no_record() {
     let mut reachability = Reachability::default();
     reachability.record_failure(Time::ZERO, &upstream());
 
--- a/src/gateway/reportedloads/tests.rs
+++ b/src/gateway/reportedloads/tests.rs
@@ -6,7 +6,7 @@
 
 // Loads change many times a second, and an old word would send requests away from an upstream for long.
 #[test]
-fn a_word_counts_for_a_moment_only() {
+fn a_report_expires_after_its_ttl() {
     let upstream = InstanceId::from(UpstreamId::new("up-1")).key();
     let reported = ReportedLoad {
         running: 3,
