--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -103,19 +103,19 @@
     let mut notices: HashMap<String, u64> = HashMap::new();
     let mut requests: BTreeMap<String, (String, Option<LogEntry>)> = BTreeMap::new();
     for text in lines {
-        let Some(line) = parse_entry(text) else {
+        let Some(entry) = parse_entry(text) else {
             losses.skipped += 1;
             continue;
         };
-        if let ("UpstreamLeaving", Some(upstream)) = (line.name.as_str(), &line.upstream) {
-            notices.entry(upstream.clone()).or_insert(line.wall_ms);
+        if let ("UpstreamLeaving", Some(upstream)) = (entry.name.as_str(), &entry.upstream) {
+            notices.entry(upstream.clone()).or_insert(entry.wall_ms);
         }
-        let (Some(request), Some(kind)) = (line.request.clone(), line.kind.clone()) else {
+        let (Some(request), Some(kind)) = (entry.request.clone(), entry.kind.clone()) else {
             continue;
         };
-        let entry = requests.entry(request).or_insert((kind, None));
-        if is_end(&line.name) {
-            entry.1 = Some(line);
+        let tallied = requests.entry(request).or_insert((kind, None));
+        if is_end(&entry.name) {
+            tallied.1 = Some(entry);
         }
     }
     for (kind, end) in requests.into_values() {
--- a/src/gateway/losses/tests.rs
+++ b/src/gateway/losses/tests.rs
@@ -23,7 +23,7 @@
     tally(lines.iter().map(String::as_str), THRESHOLDS)
 }
 
-fn lost(lines: &[String]) -> Vec<Cause> {
+fn causes_of(lines: &[String]) -> Vec<Cause> {
     losses_of(lines)
         .lost
         .into_keys()
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_stream_in_time_is_no_loss() {
+fn a_stream_within_the_thresholds_is_not_lost() {
     let losses = losses_of(&[
         stream("RequestDispatched", 1, "r", ""),
         stream(
@@ -47,24 +47,24 @@
 }
 
 #[test]
-fn a_stream_without_an_end_ended_with_its_host() {
+fn a_stream_without_an_end_was_lost_with_its_host() {
     assert_eq!(
-        lost(&[stream("RequestDispatched", 1, "r", "")]),
+        causes_of(&[stream("RequestDispatched", 1, "r", "")]),
         [Cause::HostEnded]
     );
 }
 
 #[test]
-fn a_stream_that_breaks_soon_after_its_engines_notice_went_with_it() {
+fn a_stream_that_breaks_soon_after_its_engines_notice_is_lost_with_the_engine() {
     let notice = line("UpstreamLeaving", 1_000, r#","upstream":"e""#);
     let soon = stream("RequestFailed", 2_500, "r", r#","upstream":"e""#);
     let later = stream("RequestFailed", 9_000, "r", r#","upstream":"e""#);
-    assert_eq!(lost(&[notice.clone(), soon]), [Cause::EngineLeft]);
-    assert_eq!(lost(&[notice, later]), [Cause::Broken]);
+    assert_eq!(causes_of(&[notice.clone(), soon]), [Cause::EngineLeft]);
+    assert_eq!(causes_of(&[notice, later]), [Cause::Broken]);
 }
 
 #[test]
-fn late_events_and_errors_of_upstreams_are_told_apart() {
+fn late_events_upstream_errors_and_refusals_have_their_own_causes() {
     let late = stream("RequestComplete", 2, "a", r#","first_ms":1600.0"#);
     let paused = stream(
         "RequestComplete",
@@ -78,7 +78,7 @@
         r#","request":"c","kind":"once","status":500"#,
     );
     let refused = stream("RequestRefused", 2, "d", r#","code":"overloaded""#);
-    let causes = lost(&[late, paused, failed, refused]);
+    let causes = causes_of(&[late, paused, failed, refused]);
     assert!(causes.contains(&Cause::FirstEventLate));
     assert!(causes.contains(&Cause::Stalled { moved: true }));
     assert!(causes.contains(&Cause::UpstreamError(500)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_stands_before_a_line_is_passed_over_and_other_text_counted() {
+fn prefixes_are_skipped_and_other_text_is_counted() {
     let prefixed = format!("12.5 host-1 {}", stream("CallerLeft", 2, "r", ""));
     let losses = losses_of(&[prefixed, "a report".to_owned()]);
     assert_eq!(losses.lost.len(), 1);
