--- a/tests/retrybudget/mod.rs
+++ b/tests/retrybudget/mod.rs
@@ -23,17 +23,17 @@
 const ALLOWANCE: f64 = 50.0;
 const WINDOW: Duration = Duration::from_secs(10);
 /// Lives of each host.
-const LIVES: usize = 5;
+const PROCESSES_PER_HOST: usize = 5;
 /// Requests that spend a host's part of the budget.
-const REQUESTS: usize = 6;
+const REQUESTS_PER_HOST: usize = 6;
 /// Requests that spend the whole budget.
-const REQUESTS_FOR_ALL: usize = 24;
+const REQUESTS_PER_WHOLE_BUDGET: usize = 24;
 /// Runs that are moved, more than a host may make retries.
-const RUNS: usize = 45;
+const GENERATIONS: usize = 45;
 /// Engines that have room for them all.
 const ENGINES: usize = 12;
 /// A host that was not heard for so long counts as gone.
-const SILENT: Duration = Duration::from_millis(4_500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 fn request(id: usize) -> String {
     format!(
@@ -64,14 +64,14 @@
         }
     }
 
-    fn wait_for(hosts: &[World]) {
+    fn wait_until_ready(hosts: &[World]) {
         for host in hosts {
             assert!(wait_until(|| host.is_ready()), "a host is not ready");
         }
     }
 
     /// Sends so many requests to each of `hosts` in turn.
-    fn press(&mut self, hosts: &[World], requests: usize) {
+    fn send_requests(&mut self, hosts: &[World], requests: usize) {
         for _ in 0..requests {
             for host in hosts {
                 self.sent += 1;
@@ -97,7 +97,7 @@
     }
 
     /// The most retries in any window.
-    fn most_retries(&self) -> usize {
+    fn max_retries_in_window(&self) -> usize {
         let retries = self.retries();
         let from = |first: &Instant| {
             let window = retries.iter().filter(|at| *at >= first);
@@ -115,46 +115,46 @@
 
 // A host that starts must not spend again what its last process spent of the budget.
 #[test]
-fn hosts_that_start_again_and_again_spend_one_retry_budget() {
+fn repeatedly_restarted_hosts_stay_within_one_retry_budget() {
     let mut hosts = World::start_fleet(HOSTS);
     let mut pool = Pool::start(&hosts[0].log);
-    Pool::wait_for(&hosts);
-    pool.press(&hosts, REQUESTS);
+    Pool::wait_until_ready(&hosts);
+    pool.send_requests(&hosts, REQUESTS_PER_HOST);
 
-    for _ in 1..LIVES {
+    for _ in 1..PROCESSES_PER_HOST {
         hosts.clear();
         hosts = World::start_fleet_at(&pool.log, HOSTS);
-        Pool::wait_for(&hosts);
-        pool.press(&hosts, REQUESTS);
+        Pool::wait_until_ready(&hosts);
+        pool.send_requests(&hosts, REQUESTS_PER_HOST);
     }
 
-    let (most, allowed) = (pool.most_retries(), pool.allowed());
-    assert!(most <= allowed, "{most} retries, {allowed} allowed");
+    let (retries, allowed) = (pool.max_retries_in_window(), pool.allowed());
+    assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
 // What hosts that are gone have spent still counts, so the one that is left must not take their parts at once.
 #[test]
-fn a_host_whose_peers_are_gone_does_not_take_their_retry_budget() {
+fn a_host_does_not_take_over_the_retry_budget_of_ended_peers() {
     let mut hosts = World::start_fleet(HOSTS);
     let mut pool = Pool::start(&hosts[0].log);
-    Pool::wait_for(&hosts);
-    pool.press(&hosts, REQUESTS);
+    Pool::wait_until_ready(&hosts);
+    pool.send_requests(&hosts, REQUESTS_PER_HOST);
 
     let mut others = hosts.split_off(1);
     others.iter_mut().for_each(World::drain);
     others.iter_mut().for_each(World::wait_ended);
-    let gone = Instant::now();
-    assert!(wait_until(|| gone.elapsed() > SILENT));
-    pool.press(&hosts, REQUESTS_FOR_ALL);
+    let ended_at = Instant::now();
+    assert!(wait_until(|| ended_at.elapsed() > PEER_TIMEOUT));
+    pool.send_requests(&hosts, REQUESTS_PER_WHOLE_BUDGET);
 
-    let (most, allowed) = (pool.most_retries(), pool.allowed());
-    assert!(most <= allowed, "{most} retries, {allowed} allowed");
+    let (retries, allowed) = (pool.max_retries_in_window(), pool.allowed());
+    assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
 // A run that goes on from a copy of its memory is the same run, not a repeat: waves of leaving engines must not use up the
 // budget of requests that were turned away.
 #[test]
-fn runs_that_were_moved_leave_the_retry_budget_to_others() {
+fn moved_generations_do_not_use_the_retry_budget() {
     let held = Behaviour::Events {
         to: 8,
         break_after: None,
@@ -167,7 +167,7 @@
         assert!(caller.read_until("id: 7\n"), "run {id}");
         caller
     };
-    let callers: Vec<Caller> = (0..RUNS).map(run).collect();
+    let callers: Vec<Caller> = (0..GENERATIONS).map(run).collect();
     let others: Vec<FakeUpstream> = (0..ENGINES)
         .map(|index| FakeUpstream::of("reports", &format!("other-{index}"), &[crate::events(8)]))
         .collect();
@@ -181,11 +181,11 @@
 
     let full = FakeUpstream::of("reports", "full", &[Behaviour::NotRun]);
     world.list(&full, "ready");
-    let was_turned_away = wait_until(|| {
-        let answer = ask(world.callers(), &request(RUNS));
+    let is_refused = wait_until(|| {
+        let answer = ask(world.callers(), &request(GENERATIONS));
         assert_eq!(answer.status, 200);
         !full.seen().is_empty()
     });
 
-    assert!(was_turned_away);
+    assert!(is_refused);
 }
