--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses the upstream of a request: a pure decision over what is known of each.
+//! Chooses the upstream of a request by scoring the candidates. The decision does no I/O.
 
 use std::sync::Arc;
 
@@ -10,53 +10,56 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// Cost of leaving the data centre, as a share of an upstream's room. Calls of plain services are
-/// short: a round trip weighs as much as about one request of six that runs there.
+/// Score added to an upstream of another data centre for a call to a plain service, in shares of the
+/// upstream's capacity. Calls are short, so a round trip weighs as much as about one running request
+/// of six.
 const CALL_REMOTE_COST: f64 = 0.15;
-/// Cost of leaving the data centre for a generation: a cut between data centres breaks what runs
-/// across it. At 0.12 more than a third of the generations ran far, and a cut took or stalled them; of
-/// 0.12, 0.3, 0.6 and 1.2 the last two served most (docs/MEASUREMENTS.md).
+/// Score added to an engine of another data centre for a generation, because a partition breaks or
+/// stalls the streams that cross it. At 0.12 more than a third of the generations ran in other data
+/// centres; of 0.12, 0.3, 0.6 and 1.2 the last two served most requests (docs/MEASUREMENTS.md).
 const GENERATION_REMOTE_COST: f64 = 0.6;
-/// Cost of leaving the data centre for a copy of memory: copies there took 0.5 s, near ones 0.2 s, and
-/// an engine that leaves lives for less than two.
+/// Score added to an engine of another data centre for a copy of memory: such copies took 0.5 s, local
+/// ones 0.2 s, and a leaving engine runs for less than 2 s.
 const COPY_REMOTE_COST: f64 = 0.5;
-/// Prompts are read one after another, some 7 tokens a millisecond between the steps of what runs.
-/// So many unread tokens delay a first token by 1.4 s, about a whole objective, and weigh as much as
-/// a whole engine's memory.
+/// Unread prompt tokens that weigh as much as the whole memory of an engine. An engine reads prompts
+/// one after another, at about 7 tokens a millisecond between the steps of running requests, so these
+/// delay a first token by 1.4 s, about the whole objective.
 const UNREAD_SCALE_TOKENS: f64 = 6_000.0;
-/// Cost of each request that runs beside, as each slows the steps of the others a little (an
-/// engine's step grows by less than 2% a request).
+/// Score added for each request that runs on the same engine: each lengthens the engine's steps by
+/// less than 2%.
 const CONCURRENT_REQUEST_COST: f64 = 0.008;
-/// Random part of a score, so that hosts that see the same don't choose the same.
+/// Maximum random part of a score, so that hosts with the same information make different choices.
 const JITTER: f64 = 0.03;
-/// The same for generations that leave a full data centre while counts of the others are old: the
-/// hosts of all data centres that are full would else choose the same engine for seconds.
+/// Maximum random part for generations that leave a full data centre while the counts of the others are
+/// stale: without it, the hosts of all full data centres choose the same engine for seconds.
 const SPILL_JITTER: f64 = 0.35;
-/// The same for copies. Where several engines leave at once, all their hosts choose in the same
-/// moment, and copies to one engine wait for each other.
+/// Maximum random part for copies. When several engines leave together, all their hosts choose at the
+/// same time, and copies to one engine wait for each other.
 const COPY_JITTER: f64 = 0.12;
 
-/// While counts of other data centres are old, a generation stays near as long as an engine there has
-/// no more than this share of its memory taken,
+/// While the counts of other data centres are stale, a generation stays in its own data centre if an
+/// engine there would use at most this share of its memory and has few unread tokens
+/// ([`LOCAL_UNREAD_TOKENS_MAX`]).
 const LOCAL_MEMORY_SHARE_MAX: f64 = 0.85;
-/// and no more unread tokens than these: 0.6 s at 7 tokens a millisecond.
+/// Most unread tokens of a local engine that keeps a generation in its data centre: 0.6 s at 7 tokens a
+/// millisecond.
 const LOCAL_UNREAD_TOKENS_MAX: u32 = 4_500;
 
-/// Upstreams of its data centre that a host looks at before all others. With thousands a look at each costs more than
-/// it finds: that the least loaded of so many is full is rare before nearly all are.
+/// Upstreams of its data centre that a host considers first. Scoring thousands of them for each request
+/// costs more than it gains: the least loaded of a subset is rarely full before nearly all upstreams are.
 pub(crate) const SUBSET_UPSTREAMS: usize = 64;
 
-/// How old this host's counts of what runs in other data centres are.
+/// Freshness of this host's counts of the requests that run in other data centres.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemoteCounts {
-    /// A datagram, as those of the own data centre.
+    /// As old as one datagram, like the counts of the own data centre.
     Fresh,
-    /// Seconds: hosts of several data centres that choose by them all choose the same engine.
+    /// Seconds old: hosts of several data centres that rely on them choose the same engine.
     Stale,
 }
 
 impl RemoteCounts {
-    /// The age in logs.
+    /// The name in log entries.
     pub const fn name(self) -> &'static str {
         match self {
             RemoteCounts::Fresh => "fresh",
@@ -65,21 +68,21 @@
     }
 }
 
-/// From where a choice is made.
+/// The host's location and its knowledge of other data centres.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementContext<'a> {
-    /// The own data centre.
+    /// The host's data centre.
     pub data_centre: &'a DataCentre,
-    /// What is known of the others.
+    /// Freshness of the counts of other data centres.
     pub remote_counts: RemoteCounts,
 }
 
-/// What a request needs.
+/// The resources that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Need {
     /// A slot of a plain service.
     Slot,
-    /// Memory of an engine for a new generation, in tokens, out of the engine's whole.
+    /// Engine memory for a new generation.
     Memory {
         /// Tokens that it is predicted to need.
         tokens: u32,
@@ -88,7 +91,7 @@
         /// Tokens that an engine holds.
         memory_tokens: u32,
     },
-    /// The same for the copy of a running one.
+    /// Engine memory for the copy of a running generation.
     Copy {
         /// Tokens that it is predicted to need.
         tokens: u32,
@@ -112,15 +115,15 @@
 pub struct Candidate {
     /// The upstream.
     pub upstream: Arc<Upstream>,
-    /// What runs there.
+    /// The requests that run there, as counted by the hosts.
     pub load: Load,
-    /// What it said of itself a moment ago.
+    /// The load that it last reported itself, if fresh.
     pub reported: Option<ReportedLoad>,
-    /// Whether its recent failures speak against it.
+    /// Whether it is ejected, unreachable or behind a partition, and so only a last resort.
     pub unhealthy: bool,
 }
 
-/// The share of a candidate's room that would be taken; lower is better.
+/// The share of a candidate's capacity that would be in use, plus penalties; lower is better.
 fn score(need: Need, candidate: &Candidate, local: &DataCentre) -> f64 {
     let is_remote = candidate.upstream.data_centre != *local;
     let remote = if is_remote { 1.0 } else { 0.0 };
@@ -150,7 +153,7 @@
     }
 }
 
-/// The part of its slots that a plain service's upstream would have taken, longer work counting for more.
+/// The share of a plain service's slots that would be in use, multiplied by the upstream's slowness.
 fn slot_share(candidate: &Candidate) -> f64 {
     let slots = f64::from(candidate.upstream.slots.max(1));
     let (reported_requests, slowness) = match candidate.reported {
@@ -161,11 +164,12 @@
     (requests + 1.0) / slots * slowness
 }
 
+/// The share of an engine's memory that would be in use.
 fn memory_share(candidate: &Candidate, tokens: u32, memory_tokens: u32) -> f64 {
     f64::from(candidate.load.tokens + tokens) / f64::from(memory_tokens.max(1))
 }
 
-/// Whether a generation is well placed at a candidate, whatever others there are.
+/// Whether a local candidate has room enough for a generation not to leave the data centre.
 fn has_room(need: Need, candidate: &Candidate) -> bool {
     match need {
         Need::Memory {
@@ -180,8 +184,8 @@
     }
 }
 
-/// The part of a long list that one host looks at first: the same from one request to the next, and another one for each
-/// host.
+/// At most [`SUBSET_UPSTREAMS`] of `upstreams`. The subset depends on the host, so that it stays the same from
+/// one request to the next and hosts together use all upstreams.
 pub(crate) fn subset(mut upstreams: Vec<Arc<Upstream>>, host: &HostId) -> Vec<Arc<Upstream>> {
     let length = upstreams.len();
     if length > SUBSET_UPSTREAMS {
@@ -192,9 +196,9 @@
     upstreams
 }
 
-/// The best candidate for a request; doubtful ones only where there is no other, and of other data
-/// centres only where the counts of these are fresh or no near one has room. `draw` gives random
-/// numbers from 0 to 1.
+/// Returns the candidate with the lowest score. Unhealthy candidates are used only if there is no other,
+/// and with stale remote counts a generation leaves its data centre only if no local engine has room.
+/// `draw` returns random numbers from 0 to 1.
 pub fn choose(
     need: Need,
     candidates: &[Candidate],
--- a/src/gateway/placement/tests.rs
+++ b/src/gateway/placement/tests.rs
@@ -201,7 +201,7 @@
     );
 }
 
-// A look at each of thousands of upstreams took a host of a tenth of a core 40 ms a request.
+// Scoring each of thousands of upstreams took 40 ms a request on a host with a tenth of a core.
 #[test]
 fn each_host_uses_a_subset_and_all_hosts_together_use_every_upstream() {
     let listed: Vec<Arc<Upstream>> = (0..1_844)
@@ -223,13 +223,13 @@
     let most = hosts_by_upstream.values().max().copied().unwrap_or(0);
     assert!(
         hosts_by_upstream.len() > 1_800,
-        "{} looked at",
+        "{} upstreams used",
         hosts_by_upstream.len()
     );
-    assert!(most <= 25, "{most} hosts look at one");
+    assert!(most <= 25, "{most} hosts use one upstream");
 }
 
-// Upstreams share their machines with others, and hosts hear of each other's calls late.
+// Hosts learn of each other's calls late, and other programs on an upstream's machine can slow it.
 #[test]
 fn an_upstream_that_reports_itself_full_or_slow_is_chosen_last() {
     let mut full = candidate("full", "north", Load::default());
