--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,8 +1,8 @@
-//! The upstreams that one request was offered to, and whether another one may follow.
+//! The attempts of one request, and the decision whether to try another upstream.
 //!
-//! A request that was sent draws on the retry budget and on a fixed number of sends. One that could
-//! not be sent, because no connection could be established, costs nobody but its caller: after a
-//! crowd of upstreams has gone at once it may pass over many of them, for a part of its objective.
+//! Each retry of a request that was sent is taken from the retry budget, and the number of sends is limited.
+//! A failed connection costs only the caller's time, so it is not charged: when many upstreams have gone at
+//! once, a request may try many of them within a share of its objective.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use crate::id::ServiceId;
 use crate::telemetry;
 
-/// Upstreams that a request is sent to, however many of them certainly did not run it.
+/// Most upstreams that a request is sent to, even if none of them ran it.
 const SENDS_MAX: usize = 4;
-/// A request looks for an upstream that it can connect to for this part of its objective: after
-/// that it would be late, and a refusal in time lets its caller come back.
+/// Share of its objective for which a request tries to connect to further upstreams. After that the
+/// answer would be late, while an early refusal lets the caller try again.
 const CONNECT_OBJECTIVE_SHARE: f64 = 0.5;
 
-/// Whether a try reached its upstream.
+/// Whether an attempt sent the request to its upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// A connection stood; the request was or may have been sent.
+    /// A connection was established; the request was or may have been sent.
     Sent,
     /// No connection could be established.
     Unreachable,
 }
 
-/// Whether a request goes to another upstream after a failed try.
+/// Whether a request is retried on another upstream after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RetryDecision {
-    /// It does.
+    /// It is.
     Retry,
-    /// It was sent as often as a request may be.
+    /// It was sent [`SENDS_MAX`] times.
     SendLimit,
-    /// The retry budget of its service has no room.
+    /// The retry budget of its service is used up.
     NoBudget,
-    /// It would be answered late.
+    /// The answer would be late.
     TooLate,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// The tries of one request.
+/// The attempts of one request.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     upstreams: Vec<InstanceId>,
@@ -62,12 +62,12 @@
 }
 
 impl Attempts {
-    /// The request is offered to `upstream`.
+    /// Adds an attempt on `upstream`.
     pub(crate) fn add(&mut self, upstream: &InstanceId) {
         self.upstreams.push(upstream.clone());
     }
 
-    /// The upstreams tried so far.
+    /// The upstreams tried so far, in order.
     pub(crate) fn upstreams(&self) -> &[InstanceId] {
         &self.upstreams
     }
@@ -77,8 +77,8 @@
         self.upstreams.len()
     }
 
-    /// The last try failed for `reason`. Whether the request goes to another upstream; writes the
-    /// line that says so.
+    /// Decides whether the request is retried on another upstream after its last attempt failed for
+    /// `reason`, takes the retry from the budget and logs the decision.
     pub(crate) fn decide_retry(
         &mut self,
         shared: &Shared,
@@ -104,7 +104,7 @@
             .with("verdict", decision.name())
             .with("retried", decision == RetryDecision::Retry)
             .write();
-        // A further try is for the request's sake alone.
+        // A retry serves the request, not the trial of a version, so it goes to a proved upstream.
         admitted.track.set(Track::Proved);
         decision == RetryDecision::Retry
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Takes a retry out of the budget. Tells also what the budget held before, if it was asked.
+    /// Takes a retry from the budget. The balance is that before the retry, if the budget was consulted.
     fn take_retry(
         &mut self,
         shared: &Shared,
