--- a/src/gateway/retrybudget.rs
+++ b/src/gateway/retrybudget.rs
@@ -1,35 +1,36 @@
-//! A retry budget that all hosts share without asking each other: each takes its part of the fixed
-//! allowance and a ratio of its own requests, over a sliding window.
+//! A retry budget that all hosts share without coordination: each uses its share of a fixed allowance
+//! and a ratio of its own requests, over a sliding window.
 //!
-//! A process knows what it has spent and not what the one before it has, so hosts that start again in series would
-//! spend their part each time. In its first window a process uses the share that older ones leave, and of the fixed
-//! allowance only what its age has earned: all processes of a host together then stay within its part.
+//! A process doesn't know how much the previous process of its host spent, so a host that restarts repeatedly
+//! could spend its share each time. In its first window a process is therefore limited to the part of the budget
+//! that older processes leave unused, and its share of the allowance grows with its uptime. All processes of a
+//! host together then stay within its share.
 //!
-//! Where hosts are so many that the part of one is less than a retry, a host that has run for a window takes one by lot:
-//! as many hosts do as their parts make together.
+//! In a large fleet the share of a host can be less than one retry. A host that has run for a window then rounds
+//! it up to one with a probability equal to the share, so that the fleet as a whole uses the sum of its shares.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Share of the budget that a process uses once it has run for a window.
+/// Part of its budget that a process uses once it has run for a window.
 const STEADY_SHARE: f64 = 0.6;
-/// Share of it that processes use in their first window.
+/// Part of its budget that a process uses in its first window.
 const FIRST_WINDOW_SHARE: f64 = 1.0 - STEADY_SHARE;
 
-/// Bounds of the budget over all hosts.
+/// Limits of the budget over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetOptions {
-    /// Retries allowed for each request.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Retries allowed in a window beside.
+    /// Retries allowed in a window in addition.
     pub allowance: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// What a budget holds at one moment.
+/// State of a budget at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Balance {
     /// Requests in the window.
@@ -41,7 +42,7 @@
 }
 
 impl Balance {
-    /// Whether one retry more is allowed.
+    /// Whether one more retry is allowed.
     pub fn has_room(&self) -> bool {
         self.retries as f64 + 1.0 <= self.allowed
     }
@@ -57,7 +58,7 @@
 }
 
 impl SharedRetryBudget {
-    /// A budget that nothing was taken from. `draw` is drawn from 0 to 1.
+    /// Creates an unused budget. `draw` is a random number from 0 to 1.
     pub fn new(options: RetryBudgetOptions, draw: f64) -> Self {
         SharedRetryBudget {
             options,
@@ -67,18 +68,18 @@
         }
     }
 
-    /// A request arrived.
+    /// Records the arrival of a request.
     pub fn record_request(&mut self, now: Time) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// A request is sent once more whatever the budget says, and counts.
+    /// Records a retry that is made even if the budget is used up.
     pub fn charge(&mut self, now: Time) {
         self.retries.push_back(now);
     }
 
-    /// What the budget holds if `hosts` hosts share the allowance. `now` counts from the start of the process.
+    /// The balance if `hosts` hosts share the allowance. `now` counts from the start of the process.
     pub fn balance(&mut self, now: Time, hosts: usize) -> Balance {
         self.expire(now);
         let share = self.options.allowance / hosts.max(1) as f64;
@@ -95,6 +96,7 @@
         }
     }
 
+    /// Rounds a budget below one retry up to one with a probability equal to the budget.
     fn round_up_by_draw(&self, allowed: f64) -> f64 {
         match allowed < 1.0 && self.draw < allowed {
             true => 1.0,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Takes one retry, if `hosts` hosts that share the allowance leave this one any.
+    /// Takes one retry if there is room. `hosts` hosts share the allowance.
     pub fn try_retry(&mut self, now: Time, hosts: usize) -> bool {
         let has_room = self.balance(now, hosts).has_room();
         if has_room {
@@ -111,6 +113,7 @@
         has_room
     }
 
+    /// Drops requests and retries that are older than the window.
     fn expire(&mut self, now: Time) {
         for times in [&mut self.requests, &mut self.retries] {
             while times
--- a/src/gateway/retrybudget/tests.rs
+++ b/src/gateway/retrybudget/tests.rs
@@ -12,10 +12,10 @@
     window: Duration::from_secs(10),
 };
 
-/// Draws nothing.
+/// A draw with which no budget is rounded up.
 const NO_ROUND_UP: f64 = 1.0;
 
-/// The process has run for longer than a window.
+/// A time at which the process has run for longer than a window.
 const NOW: Time = Time::from_ms(60_000);
 
 fn take_retries(budget: &mut SharedRetryBudget, now: Time, hosts: usize) -> usize {
--- a/src/gateway/retrybudget/tests/fleet.rs
+++ b/src/gateway/retrybudget/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Hosts that start, end and stop in series, each of which retries whenever its budget has room.
+//! A simulated fleet whose processes start and stop repeatedly, and in which each host retries whenever its
+//! budget has room.
 
 use std::time::Duration;
 
@@ -15,24 +16,24 @@
 const STEPS: usize = 1_200;
 /// Steps in half a window of the budget.
 const HALF_WINDOW_STEPS: usize = 100;
-/// Longest time without a process of a host, in steps.
+/// Longest time for which a host has no process, in steps.
 const DOWNTIME_MAX_STEPS: usize = 20;
 
-/// How long processes last, in steps.
+/// Range of the uptime of processes, in steps.
 #[derive(Debug, Clone, Copy)]
 struct UptimeRange {
     min_steps: usize,
     max_steps: usize,
 }
 
-/// What reached the upstreams in each step.
+/// Requests and retries of the whole fleet in one step.
 #[derive(Debug, Default, Clone, Copy)]
 struct Step {
     requests: usize,
     retries: usize,
 }
 
-/// A host: the budget of its process, if one runs, since when, and when that changes.
+/// A host: its process's budget and first step, if a process runs, and the step of the next start or stop.
 struct Host {
     budget: Option<(SharedRetryBudget, usize)>,
     changes_at_step: usize,
@@ -46,7 +47,7 @@
 }
 
 impl Fleet {
-    /// Hosts that have run for a long time when the first step begins.
+    /// Creates hosts whose processes start with the simulation; the first stops come two windows later.
     fn start(seed: u64, count: usize, options: RetryBudgetOptions, uptimes: UptimeRange) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let hosts = (0..count).map(|_| Host {
@@ -61,7 +62,8 @@
         }
     }
 
-    /// One step in which `requests` requests arrive, at hosts drawn among those that run.
+    /// Simulates one step in which `requests` requests arrive, each at a random host. Those that arrive at a
+    /// host without a process are lost.
     fn step(&mut self, now: usize, requests: usize) -> Step {
         let count = self.hosts.len();
         for host in &mut self.hosts {
@@ -108,8 +110,9 @@
     Time::ZERO + STEP * u32::try_from(now - started_at_step).unwrap()
 }
 
-/// The window in which retries exceed what is allowed by most, and by how much: negative where none does. Allowed is the
-/// ratio of the requests in that window, the one before or the one half a window before, whichever has most.
+/// Largest excess of retries over the allowed number in any window; negative if no window exceeds it. The
+/// allowed number is the allowance and the ratio of the requests in that window, the one half a window
+/// earlier or the one a whole window earlier, whichever has the most requests.
 fn worst_excess(steps: &[Step], options: RetryBudgetOptions) -> f64 {
     let requests = |from: usize| -> usize {
         let window = steps[from..from + 2 * HALF_WINDOW_STEPS].iter();
@@ -204,7 +207,7 @@
     );
 }
 
-// A thousand hosts of which each might make 0.6 retries made none.
+// A thousand hosts with a budget of 0.6 retries each made no retry at all.
 #[test]
 fn hosts_with_shares_below_one_retry_use_most_of_the_budget() {
     let options = RetryBudgetOptions {
