--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,8 +1,8 @@
 //! The attempts of one request, and the decision whether to try another upstream.
 //!
-//! Each retry of a request that was sent is taken from the retry budget, and the number of sends is limited.
-//! A failed connection costs only the caller's time, so it is not charged: when many upstreams have gone at
-//! once, a request may try many of them within a share of its objective.
+//! Each retry of a request that was sent is taken from the retry budget, and the number of sends is
+//! limited. A failed connection costs only the caller's time, so it is not charged: when many
+//! upstreams have gone at once, a request may try many of them within a share of its objective.
 
 use std::time::Duration;
 
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -184,8 +184,8 @@
     }
 }
 
-/// At most [`SUBSET_UPSTREAMS`] of `upstreams`. The subset depends on the host, so that it stays the same from
-/// one request to the next and hosts together use all upstreams.
+/// At most [`SUBSET_UPSTREAMS`] of `upstreams`. The subset depends on the host, so that it stays
+/// the same from one request to the next and hosts together use all upstreams.
 pub(crate) fn subset(mut upstreams: Vec<Arc<Upstream>>, host: &HostId) -> Vec<Arc<Upstream>> {
     let length = upstreams.len();
     if length > SUBSET_UPSTREAMS {
--- a/src/gateway/retrybudget.rs
+++ b/src/gateway/retrybudget.rs
@@ -1,13 +1,14 @@
 //! A retry budget that all hosts share without coordination: each uses its share of a fixed allowance
 //! and a ratio of its own requests, over a sliding window.
 //!
-//! A process doesn't know how much the previous process of its host spent, so a host that restarts repeatedly
-//! could spend its share each time. In its first window a process is therefore limited to the part of the budget
-//! that older processes leave unused, and its share of the allowance grows with its uptime. All processes of a
-//! host together then stay within its share.
+//! A process doesn't know how much the previous process of its host spent, so a host that restarts
+//! repeatedly could spend its share each time. In its first window a process is therefore limited
+//! to the part of the budget that older processes leave unused, and its share of the allowance
+//! grows with its uptime. All processes of a host together then stay within its share.
 //!
-//! In a large fleet the share of a host can be less than one retry. A host that has run for a window then rounds
-//! it up to one with a probability equal to the share, so that the fleet as a whole uses the sum of its shares.
+//! In a large fleet the share of a host can be less than one retry. A host that has run for a
+//! window then rounds it up to one with a probability equal to the share, so that the fleet as a
+//! whole uses the sum of its shares.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/src/gateway/retrybudget/tests/fleet.rs
+++ b/src/gateway/retrybudget/tests/fleet.rs
@@ -47,7 +47,7 @@
 }
 
 impl Fleet {
-    /// Creates hosts whose processes start with the simulation; the first stops come two windows later.
+    /// Creates hosts whose processes start with the simulation and run for at least two windows.
     fn start(seed: u64, count: usize, options: RetryBudgetOptions, uptimes: UptimeRange) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let hosts = (0..count).map(|_| Host {
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Simulates one step in which `requests` requests arrive, each at a random host. Those that arrive at a
-    /// host without a process are lost.
+    /// Simulates one step in which `requests` requests arrive, each at a random host. Requests at a host
+    /// without a process are counted, but enter no budget.
     fn step(&mut self, now: usize, requests: usize) -> Step {
         let count = self.hosts.len();
         for host in &mut self.hosts {
