--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -1,9 +1,10 @@
-//! What runs at each upstream, by this host's own count and by its peers'.
+//! The load of each upstream, from this host's own counts and from the reports of its peers.
 //!
-//! Upstreams' own reports are half a second old; the hosts' counts are as old as a datagram. In a large fleet each
-//! data centre speaks for its own upstreams: its hosts tell each other what they run, and hosts of other data centres
-//! tell them what they run there, so any of them knows all that its upstreams run. One word of a data centre is
-//! therefore whole, but for what the data centre that it is for runs there itself.
+//! Upstreams' own reports are half a second old; the hosts' counts are as old as a datagram. In a
+//! large fleet each data centre summarises its own upstreams: its hosts report their requests to
+//! each other, and hosts of other data centres report the requests that they run there, so each of
+//! its hosts knows the whole load of its upstreams. A summary is therefore complete, except that it
+//! leaves out the requests of the data centre that receives it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,17 +22,17 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// What a peer told counts for this long: two rounds between data centres, or a short cut.
+/// Time for which a peer's report counts: two gossip rounds between data centres, or a short partition.
 const PEER_REPORT_TTL: Duration = Duration::from_millis(4_000);
 
-/// Work at an upstream.
+/// Load of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Running requests.
     pub requests: u32,
     /// Tokens of memory that they are predicted to need.
     pub tokens: u32,
-    /// Tokens of the prompts among them that are not read yet.
+    /// Prompt tokens among them that the upstream has not read yet.
     pub unread_tokens: u32,
 }
 
@@ -49,40 +50,41 @@
     }
 }
 
-/// One host's counts.
+/// The latest report of one source.
 #[derive(Debug, Clone)]
 struct PeerReport {
     received_at: Time,
     loads: HashMap<InstanceKey, Load>,
 }
 
-/// Who tells of loads.
+/// The source and scope of a report.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ReportSource {
-    /// A host of all that it runs.
+    /// A host that reports all its requests.
     Host(HostId),
-    /// A host of another data centre of what it runs in this one.
+    /// A host of another data centre that reports its requests at upstreams of this one.
     RemoteHost {
         /// The host.
         host: HostId,
         /// Its data centre.
         data_centre: DataCentre,
     },
-    /// A host of another data centre of what runs at the upstreams there. The next one there tells the same.
+    /// Another data centre's summary of the load of its upstreams, from any of its hosts: a later
+    /// summary from another host replaces it.
     DataCentre(DataCentre),
 }
 
-/// The counts of all hosts.
+/// The load of all upstreams.
 #[derive(Debug, Default)]
 pub struct Loads {
     own: BTreeMap<InstanceId, Load>,
     peers: HashMap<ReportSource, PeerReport>,
-    /// Of what all peers tell.
+    /// Sums over the reports of all peers, so that the load of one upstream is found without visiting each.
     sums: HashMap<InstanceKey, Load>,
 }
 
 impl Loads {
-    /// Takes a peer's counts.
+    /// Replaces the report of `source`.
     pub fn receive(&mut self, now: Time, source: ReportSource, loads: Vec<(InstanceKey, Load)>) {
         let loads: HashMap<InstanceKey, Load> = loads.into_iter().collect();
         for (key, load) in &loads {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Forgets peers that are silent.
+    /// Removes reports that were not renewed within [`PEER_REPORT_TTL`].
     pub fn expire(&mut self, now: Time) {
         let is_expired = |peer: &PeerReport| now.since(peer.received_at) >= PEER_REPORT_TTL;
         let expired = self.peers.extract_if(|_, peer| is_expired(peer));
@@ -118,21 +120,22 @@
         self.subtract_reports(&expired);
     }
 
-    /// All that runs at an upstream.
+    /// The load of an upstream over all hosts.
     pub fn at(&self, upstream: &InstanceId) -> Load {
         let mut sum = self.own.get(upstream).copied().unwrap_or_default();
         sum.add(self.sums.get(&upstream.key()).copied().unwrap_or_default());
         sum
     }
 
-    /// This host's own counts, for its peers.
+    /// This host's own load at each upstream.
     pub fn own(&self) -> Vec<(InstanceKey, Load)> {
         let own = self.own.iter();
         own.map(|(upstream, load)| (upstream.key(), *load))
             .collect()
     }
 
-    /// What runs at the upstreams of this data centre, as `is_local` tells, but for what hosts of `receiver` run there, for these.
+    /// The load of the upstreams for which `is_local` is true, those of this data centre, as a report for
+    /// `receiver`: without the requests of the receiver's own hosts.
     pub fn summary_for(
         &self,
         is_local: impl Fn(InstanceKey) -> bool,
@@ -155,7 +158,7 @@
         sums.into_iter().collect()
     }
 
-    /// What this host runs, by the data centre of the upstream that `place` tells.
+    /// This host's own load, grouped by the data centre that `data_centre_of` returns for an upstream.
     pub fn own_by_data_centre(
         &self,
         data_centre_of: impl Fn(&InstanceId) -> Option<DataCentre>,
@@ -172,7 +175,7 @@
         by_data_centre
     }
 
-    /// Time since a data centre's last report.
+    /// Time since the last summary from a data centre.
     pub fn report_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
         let report = self
             .peers
@@ -195,17 +198,17 @@
     }
 }
 
-/// A handle on the counts; clones share them.
+/// A handle on [`Loads`]; clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct SharedLoads(Arc<Mutex<Loads>>);
 
 impl SharedLoads {
-    /// Runs `access` on the counts.
+    /// Runs `access` on the loads under the lock.
     pub fn with<T>(&self, access: impl FnOnce(&mut Loads) -> T) -> T {
         access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Counts one request at an upstream until the guard is dropped. Its prompt counts as unread
+    /// Adds one request to an upstream's load until the guard is dropped. Its prompt counts as unread
     /// until [`LoadGuard::mark_prompt_read`].
     pub fn add_request(&self, upstream: &InstanceId, tokens: u32, prompt_tokens: u32) -> LoadGuard {
         let load = Load {
@@ -222,7 +225,7 @@
     }
 }
 
-/// Work that is counted at an upstream.
+/// A request that counts towards an upstream's load until this is dropped.
 #[derive(Debug)]
 pub struct LoadGuard {
     shared: SharedLoads,
@@ -231,7 +234,7 @@
 }
 
 impl LoadGuard {
-    /// The request turns out to need this much memory.
+    /// Raises the memory that the request is predicted to need to `tokens`; a lower value changes nothing.
     pub fn grow_to(&mut self, tokens: u32) {
         let more = Load {
             tokens: tokens.saturating_sub(self.load.tokens),
@@ -242,7 +245,7 @@
         self.shared.with(|loads| loads.add_own(upstream, more));
     }
 
-    /// The upstream has read the request's prompt.
+    /// Records that the upstream has read the request's prompt.
     pub fn mark_prompt_read(&mut self) {
         let unread = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
--- a/src/gateway/loads/tests.rs
+++ b/src/gateway/loads/tests.rs
@@ -123,7 +123,7 @@
         shared.with(|loads| loads.summary_for(|key| local.contains(&key), &DataCentre::new(to)))
     };
 
-    // Its own, a neighbour's, and those of the visitors from elsewhere.
+    // Own requests, those of the host nearby, and those of remote hosts outside the receiver's data centre.
     assert_eq!(report("south"), [(upstream().key(), load(5, 190, 10))]);
     assert_eq!(report("west"), [(upstream().key(), load(7, 280, 15))]);
 }
@@ -145,7 +145,7 @@
     assert_eq!(south, &[(elsewhere.key(), load(1, 20, 4))]);
 }
 
-// A look at one upstream walked all hosts.
+// Finding the load of one upstream took a pass over all hosts, so sums are kept as reports come in.
 #[test]
 fn sums_match_the_latest_report_of_each_peer() {
     let shared = SharedLoads::default();
