--- a/src/gateway/reportedloads.rs
+++ b/src/gateway/reportedloads.rs
@@ -1,8 +1,8 @@
-//! What upstreams of plain services say of their own load, in the headers of their answers.
+//! The load that upstreams of plain services report in the headers of their answers.
 //!
-//! Hosts count what they send; an upstream also counts what they don't hear of each other, and knows how fast its machine
-//! is at the moment. Its word changes many times a second, so it corrects where requests go only while it is
-//! fresh.
+//! A host counts the requests that it sends. An upstream's report also covers requests of other
+//! hosts that this host has not learnt of yet, and the current speed of the upstream's machine. The
+//! load changes many times a second, so a report influences placement only for a short time.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,50 +10,51 @@
 use crate::clock::Time;
 use crate::gateway::instance::InstanceKey;
 
-/// A word counts for so long: a few calls.
+/// Time for which a report is used: a few calls.
 const REPORT_TTL: Duration = Duration::from_millis(150);
 
-/// What an upstream says of itself.
+/// Load that an upstream reports of itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// How long work takes there now, against the usual: 1 is as usual.
+    /// Current duration of calls relative to the usual one, which is 1.
     pub slowness: f64,
 }
 
 impl ReportedLoad {
-    /// Requests that it holds.
+    /// Running and waiting requests.
     pub fn requests(&self) -> u32 {
         self.running.saturating_add(self.waiting)
     }
 }
 
-/// The last words of all upstreams.
+/// The latest reports of all upstreams.
 #[derive(Debug, Default)]
 pub(crate) struct ReportedLoads {
     latest: HashMap<InstanceKey, (Time, ReportedLoad)>,
 }
 
 impl ReportedLoads {
+    /// Stores an upstream's report, replacing the previous one.
     pub(crate) fn record(&mut self, now: Time, upstream: InstanceKey, reported: ReportedLoad) {
         self.latest.insert(upstream, (now, reported));
     }
 
-    /// What an upstream said of itself a moment ago.
+    /// The latest report of an upstream, unless it has expired.
     pub(crate) fn fresh(&self, now: Time, upstream: InstanceKey) -> Option<ReportedLoad> {
         let (at, reported) = self.latest.get(&upstream)?;
         (now.since(*at) < REPORT_TTL).then_some(*reported)
     }
 
-    /// Whether there is none at all.
+    /// Whether there are no reports, so that callers can skip the look-ups.
     pub(crate) fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
 
-    /// Forgets what is not fresh any more.
+    /// Removes expired reports.
     pub(crate) fn expire(&mut self, now: Time) {
         self.latest.retain(|_, (at, _)| now.since(*at) < REPORT_TTL);
     }
--- a/src/gateway/reportedloads/tests.rs
+++ b/src/gateway/reportedloads/tests.rs
@@ -4,7 +4,8 @@
 use crate::gateway::instance::InstanceId;
 use crate::id::UpstreamId;
 
-// Loads change many times a second, and an old word would send requests away from an upstream for long.
+// Loads change many times a second: an old report would keep requests away from an upstream that is
+// idle again.
 #[test]
 fn a_report_expires_after_its_ttl() {
     let upstream = InstanceId::from(UpstreamId::new("up-1")).key();
