--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -1,12 +1,12 @@
-//! Upstreams to which connections can't be established now.
+//! Upstreams to which connections currently fail.
 //!
-//! Nothing was sent to them, so a retry elsewhere costs nobody anything; but each try costs its
-//! request a connect timeout. After one, an upstream is passed over for a while by all requests
-//! that have another choice. Unlike an ejection this is no judgement on the upstream and has no
-//! bound: behind a cut may lie most of a pool.
+//! Nothing was sent to such an upstream, so a retry elsewhere is safe and not charged, but each failed
+//! attempt costs its request a connect timeout. After one failure all requests that have an alternative
+//! avoid the upstream for a backoff. Unlike ejection, this doesn't mean that the upstream is at fault,
+//! and any share of a pool may be affected: a partition can hide most of it.
 //!
-//! The hosts of a data centre mostly see the same, so they tell each other what they could not
-//! connect to. What a host saw for itself a moment ago goes before what it is told.
+//! Hosts of a data centre mostly have the same connectivity, so they announce their own failures to each
+//! other. A host's own recent connection outweighs such a report.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 
-/// First time for which an upstream is passed over.
+/// First backoff.
 const BACKOFF_MIN: Duration = Duration::from_millis(800);
-/// Longest time, so that a cut that healed is noticed within it.
+/// Longest backoff, and so the time within which a healed partition is noticed.
 const BACKOFF_MAX: Duration = Duration::from_millis(3_200);
-/// A connection of the host's own outweighs its peers' words for this long.
+/// Time for which a connection of the host's own outweighs reports of peers.
 const OWN_SUCCESS_TTL: Duration = Duration::from_millis(1_000);
 
-/// An upstream that is passed over.
+/// A period during which an upstream is avoided.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     until: Time,
     next_delay: Duration,
-    /// Whether this host saw it itself.
+    /// Whether this host's own connection failed, rather than a peer's.
     is_own: bool,
 }
 
-/// What is known of connections to one upstream.
+/// Results of connections to one upstream.
 #[derive(Debug, Clone, Copy, Default)]
 struct Record {
     backoff: Option<Backoff>,
     connected_at: Option<Time>,
 }
 
-/// What is known of connections to all upstreams.
+/// Results of connections to all upstreams.
 #[derive(Debug, Default)]
 pub struct Reachability {
     records: HashMap<InstanceId, Record>,
 }
 
 impl Reachability {
-    /// A connection could not be established. True if the upstream could be reached before.
+    /// Records a failed connection of this host. Returns true if the upstream was not known to fail before.
     pub fn record_failure(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         let previous = record.backoff;
@@ -63,7 +63,8 @@
         previous.is_none()
     }
 
-    /// Another host of the data centre could not connect. True if that is news.
+    /// Records that another host of the data centre failed to connect. Returns true if the upstream was not
+    /// known to fail before; a report that a recent connection outweighs is ignored.
     pub fn receive_report(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         let connected_at = record.connected_at;
@@ -80,21 +81,21 @@
         previous.is_none()
     }
 
-    /// A connection was established. True if it could not before.
+    /// Records an established connection. Returns true if the upstream was known to fail before.
     pub fn record_success(&mut self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.entry(upstream.clone()).or_default();
         record.connected_at = Some(now);
         record.backoff.take().is_some()
     }
 
-    /// Whether an upstream is to be passed over.
+    /// Whether an upstream is in its backoff and to be avoided.
     pub fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
         let record = self.records.get(upstream);
         let backoff = record.and_then(|record| record.backoff);
         backoff.is_some_and(|backoff| backoff.until > now)
     }
 
-    /// What this host itself can't connect to now, for its peers.
+    /// The upstreams in a backoff from this host's own failures, to be announced to peers.
     pub fn own_failures(&self, now: Time) -> Vec<InstanceId> {
         let is_own_failure = |record: &Record| {
             let backoff = record.backoff;
@@ -107,7 +108,7 @@
             .collect()
     }
 
-    /// An upstream is gone for good.
+    /// Removes the record of an upstream that has ended.
     pub fn remove(&mut self, upstream: &InstanceId) {
         self.records.remove(upstream);
     }
