--- a/src/gateway/migration.rs
+++ b/src/gateway/migration.rs
@@ -1,10 +1,10 @@
-//! Moves running generations off engines that are leaving.
+//! Copies the memory of running generations off engines that are leaving.
 //!
-//! A move has two parts. The first copies the generation's memory to another engine while it runs,
-//! at once, because the copies of all runs of the engine share its link. The second stops the run,
-//! copies what was added meanwhile and continues at the other engine. It waits until the first
-//! parts of the other runs should be done, since a stopped run that waits behind their copies
-//! would stand still for its caller.
+//! A migration has two phases. The first copies the generation's memory to another engine while the
+//! generation runs. It starts immediately, because the copies of all generations on the engine share its
+//! link. The second stops the generation, copies the memory added since and continues it on the other
+//! engine. The second phase waits until the first phases of the other generations should be done: a
+//! stopped generation queued behind their copies would stall its stream.
 
 use std::time::Duration;
 
@@ -13,25 +13,25 @@
 use crate::gateway::protocol::CopyDone;
 use crate::gateway::shared::Shared;
 
-/// A copy of the largest generation over a link that others use takes less than this.
+/// Longer than the copy of the largest generation takes over a shared link.
 const COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Why a copy was not made.
+/// The reason why a copy failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyFailure {
-    /// The engine runs no such request: it has ended or not begun.
+    /// The engine doesn't run the request: it has ended or not started.
     NoSuchRun,
-    /// Another copy of the run is under way.
+    /// Another copy of the generation is in progress.
     Busy,
-    /// No room at the destination, or it can't be reached. Where the run was stopped the source
-    /// keeps its memory under the handle.
+    /// The destination has no room or can't be reached. If the generation was stopped, the source
+    /// keeps its memory under this handle.
     NoRoom(Option<String>),
-    /// What became of it is not known.
+    /// The outcome is unknown, for this reason.
     Unknown(String),
 }
 
 impl CopyFailure {
-    /// The failure in logs.
+    /// The text in log entries.
     pub fn describe(&self) -> String {
         match self {
             CopyFailure::NoSuchRun => "no such run".to_owned(),
@@ -42,11 +42,11 @@
     }
 }
 
-/// Copies a run's memory to another engine; with `is_final` the run stops first.
+/// Copies a generation's memory to another engine. With `is_final` the generation stops first.
 ///
 /// # Errors
 ///
-/// A [`CopyFailure`].
+/// Returns a [`CopyFailure`] if the source doesn't confirm the copy.
 pub async fn copy(
     shared: &Shared,
     source: &Upstream,
