--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -1,4 +1,4 @@
-//! Last filter of a request that gets no upstream's answer: a refusal or failure of our own.
+//! HTTP responses for requests that the gateway refuses or fails itself.
 
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
@@ -8,20 +8,20 @@
 use crate::refusal::ErrorBody;
 use crate::refusal::Refusal;
 
-/// When to ask again after a refusal that doesn't say so itself, in milliseconds: long enough for
-/// a host that lost its upstreams to learn of others.
+/// `Retry-After` of a refusal that doesn't set its own: long enough for a host that lost its upstreams to
+/// learn of others.
 const DEFAULT_RETRY_AFTER_MS: u64 = 200;
 
-/// The balancer sends a caller that comes back elsewhere at once.
+/// `Retry-After` of a host that is stopping: short, as the load balancer sends the retry to another host.
 const STOPPING_RETRY_AFTER_MS: u64 = 20;
 
-/// The refusal of a host that is stopping and would have to cut the request.
+/// The refusal of a host that is stopping and could not finish the request.
 pub fn host_stopping() -> Refusal {
     let refusal = Refusal::not_run(Code::NotReady, "the host is stopping");
     refusal.retry_after_ms(STOPPING_RETRY_AFTER_MS)
 }
 
-/// A refusal as an answer. Callers read fractions of a second in `Retry-After`.
+/// Builds the HTTP response for a refusal. Callers accept fractions of a second in `Retry-After`.
 pub fn response(refusal: &Refusal, close: bool) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
