--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -1,8 +1,8 @@
-//! What became of requests that were not served in time, by cause, read from hosts' log lines.
+//! Counts the requests that were not served in time, by cause, from the hosts' logs.
 //!
-//! A request's end is the last of its lines that tells one. A generation whose end no host tells was
-//! running when its host ended. Lines of several hosts may be mixed; what stands before a line's JSON
-//! object is passed over.
+//! The last log entry of a request that reports an end decides its cause. A generation without such an
+//! entry was running when its host ended. Entries of several hosts may be mixed, and text before an
+//! entry's JSON object is skipped.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,15 +10,16 @@
 
 use serde::Deserialize;
 
-/// A run that broke so soon after its engine's notice went with the engine; engines give 1.5 to 2.1 s.
+/// Time after an engine's notice of leaving within which a broken generation is attributed to it. Engines
+/// give 1.5 to 2.1 s of notice.
 const NOTICE_PERIOD_MAX: Duration = Duration::from_millis(3_500);
 
-/// Thresholds beyond which a stream was late.
+/// Limits beyond which a stream counts as late.
 #[derive(Debug, Clone, Copy)]
 pub struct Thresholds {
     /// Time until the first event.
     pub first_event: Duration,
-    /// Pause between two events.
+    /// Time between two events.
     pub gap: Duration,
 }
 
@@ -27,27 +28,27 @@
 pub enum Cause {
     /// Its host ended.
     HostEnded,
-    /// Its engine left before the run was moved.
+    /// Its engine left before the generation was migrated.
     EngineLeft,
-    /// Its stream broke otherwise.
+    /// Its stream broke for another reason.
     Broken,
-    /// Its caller left.
+    /// Its caller disconnected.
     CallerLeft,
     /// It was refused or failed with this code.
     Refused(String),
-    /// Its upstream answered with this status.
+    /// Its upstream answered with this status of 500 or above.
     UpstreamError(u16),
-    /// Its first event came late.
+    /// Its first event was late.
     FirstEventLate,
-    /// It paused too long.
+    /// Two of its events were too far apart.
     Stalled {
-        /// After its run was moved.
+        /// Whether the generation was migrated before it ended.
         moved: bool,
     },
 }
 
 impl Cause {
-    /// The cause for a person.
+    /// The text that `cedargauge losses` prints.
     pub fn describe(&self) -> String {
         match self {
             Cause::HostEnded => "host ended".to_owned(),
@@ -63,7 +64,7 @@
     }
 }
 
-/// The fields of a line that are read here.
+/// The fields of a log entry that are used here.
 #[derive(Debug, Deserialize)]
 struct LogEntry {
     name: String,
@@ -86,18 +87,18 @@
     moves: Option<u32>,
 }
 
-/// How many requests of each kind ended how.
+/// Number of requests and of losses by cause.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Requests by kind of route.
+    /// All requests, by kind of route.
     pub requests: BTreeMap<String, u32>,
     /// Requests not served in time, by kind of route and cause.
     pub lost: BTreeMap<(String, Cause), u32>,
-    /// Lines that were no log lines.
+    /// Lines without a log entry.
     pub skipped: u32,
 }
 
-/// Tallies log lines.
+/// Counts requests and losses in the lines of logs.
 pub fn tally<'a>(lines: impl Iterator<Item = &'a str>, thresholds: Thresholds) -> Losses {
     let mut losses = Losses::default();
     let mut notices: HashMap<String, u64> = HashMap::new();
