--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Removes reports that were not renewed within [`PEER_REPORT_TTL`].
+    /// Removes reports that were not renewed within their time to live.
     pub fn expire(&mut self, now: Time) {
         let is_expired = |peer: &PeerReport| now.since(peer.received_at) >= PEER_REPORT_TTL;
         let expired = self.peers.extract_if(|_, peer| is_expired(peer));
--- a/tests/retrybudget/mod.rs
+++ b/tests/retrybudget/mod.rs
@@ -1,4 +1,4 @@
-//! Retries of hosts that start and stop while upstreams turn everything away.
+//! Retries of hosts that start and stop while upstreams refuse all requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,21 +18,21 @@
 
 const HOSTS: usize = 6;
 const UPSTREAMS: usize = 8;
-/// What the hosts are told of the budget.
+/// The budget in the hosts' settings.
 const RATIO: f64 = 0.2;
 const ALLOWANCE: f64 = 50.0;
 const WINDOW: Duration = Duration::from_secs(10);
-/// Lives of each host.
+/// Processes that each host runs, one after another.
 const PROCESSES_PER_HOST: usize = 5;
-/// Requests that spend a host's part of the budget.
+/// Requests that use up a host's share of the budget.
 const REQUESTS_PER_HOST: usize = 6;
-/// Requests that spend the whole budget.
+/// Requests that would use up the whole budget.
 const REQUESTS_PER_WHOLE_BUDGET: usize = 24;
-/// Runs that are moved, more than a host may make retries.
+/// Generations that are migrated: more than the retries that a host may make.
 const GENERATIONS: usize = 45;
-/// Engines that have room for them all.
+/// Engines with room for all of them.
 const ENGINES: usize = 12;
-/// A host that was not heard for so long counts as gone.
+/// Time without a datagram after which a host counts as gone.
 const PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 fn request(id: usize) -> String {
@@ -41,7 +41,7 @@
     )
 }
 
-/// Upstreams that run nothing, and the requests sent so far.
+/// Upstreams that refuse all requests, and the number of requests sent so far.
 struct Pool {
     log: FakeLog,
     upstreams: Vec<FakeUpstream>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sends so many requests to each of `hosts` in turn.
+    /// Sends `requests` requests to each of `hosts`, in turn.
     fn send_requests(&mut self, hosts: &[World], requests: usize) {
         for _ in 0..requests {
             for host in hosts {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// When each retry reached an upstream: arrivals beyond the first of each request.
+    /// Arrival times of retries at upstreams: all arrivals of a request but the first.
     fn retries(&self) -> Vec<Instant> {
         let mut arrivals: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
         for seen in self.upstreams.iter().flat_map(FakeUpstream::seen) {
@@ -96,7 +96,7 @@
         retries
     }
 
-    /// The most retries in any window.
+    /// Largest number of retries in any window.
     fn max_retries_in_window(&self) -> usize {
         let retries = self.retries();
         let from = |first: &Instant| {
@@ -113,7 +113,7 @@
     }
 }
 
-// A host that starts must not spend again what its last process spent of the budget.
+// A restarted process must not use the part of the budget that the host's previous process has used.
 #[test]
 fn repeatedly_restarted_hosts_stay_within_one_retry_budget() {
     let mut hosts = World::start_fleet(HOSTS);
@@ -132,7 +132,8 @@
     assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
-// What hosts that are gone have spent still counts, so the one that is left must not take their parts at once.
+// Retries of hosts that are gone still count in the window, so the remaining host must not use their shares
+// immediately.
 #[test]
 fn a_host_does_not_take_over_the_retry_budget_of_ended_peers() {
     let mut hosts = World::start_fleet(HOSTS);
@@ -151,8 +152,8 @@
     assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
-// A run that goes on from a copy of its memory is the same run, not a repeat: waves of leaving engines must not use up the
-// budget of requests that were turned away.
+// A generation that continues from a copy of its memory is not a retry: when many engines leave, migrations must
+// not use up the retry budget of requests that were refused.
 #[test]
 fn moved_generations_do_not_use_the_retry_budget() {
     let held = Behaviour::Events {
