--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -6,6 +6,7 @@
 //! library's basic types and nothing of the product's own API.
 
 pub mod admit;
+pub(crate) mod attempts;
 pub mod call;
 pub mod cold;
 pub mod configfetch;
@@ -33,6 +34,7 @@
 pub mod loads;
 pub mod losses;
 pub mod movequeue;
+pub mod migration;
 pub mod ownclient;
 pub(crate) mod partition;
 pub mod peerfetch;
@@ -42,12 +44,11 @@
 pub mod position;
 pub mod protocol;
 pub(crate) mod queue;
-pub mod reach;
+pub mod reachability;
 pub(crate) mod reading;
 pub mod refuse;
 pub(crate) mod rendezvous;
 pub mod reportedloads;
-pub mod rescue;
 pub mod retrybudget;
 pub mod rollouts;
 pub(crate) mod rolloutstatus;
@@ -61,4 +62,3 @@
 pub mod suspects;
 pub(crate) mod suspension;
 pub(crate) mod ticks;
-pub(crate) mod tries;
--- /dev/null
+++ b/src/gateway/attempts/tests.rs
@@ -0,0 +1,33 @@
+use std::time::Duration;
+
+use super::Attempts;
+use super::SENDS_MAX;
+use crate::gateway::instance::InstanceId;
+use crate::id::UpstreamId;
+
+fn attempts(count: usize) -> Attempts {
+    let mut attempts = Attempts::default();
+    for index in 0..count {
+        attempts.add(&InstanceId::from(UpstreamId::new(format!(
+            "upstream-{index}"
+        ))));
+    }
+    attempts
+}
+
+const TIME_LIMIT: Duration = Duration::from_millis(900);
+
+#[test]
+fn the_first_upstreams_are_tried_beyond_the_time_limit() {
+    let attempts = attempts(SENDS_MAX - 1);
+
+    assert!(attempts.may_try_another(TIME_LIMIT * 2, TIME_LIMIT));
+}
+
+#[test]
+fn more_upstreams_are_tried_only_within_the_time_limit() {
+    let attempts = attempts(SENDS_MAX + 10);
+
+    assert!(attempts.may_try_another(TIME_LIMIT - Duration::from_millis(1), TIME_LIMIT));
+    assert!(!attempts.may_try_another(TIME_LIMIT, TIME_LIMIT));
+}
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -12,6 +12,8 @@
 use tokio::time::Instant;
 
 use crate::event::EventCode;
+use crate::gateway::attempts::Attempts;
+use crate::gateway::attempts::Delivery;
 use crate::gateway::connection::Connection;
 use crate::gateway::connection::Patience;
 use crate::gateway::directory::Upstream;
@@ -29,8 +31,6 @@
 use crate::gateway::serve::Admitted;
 use crate::gateway::serve::Front;
 use crate::gateway::shared::Shared;
-use crate::gateway::tries::Reached;
-use crate::gateway::tries::Tries;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 use crate::telemetry;
@@ -88,14 +88,14 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.retry_budget(&admitted.service, |budget| budget.requested(now));
+    shared.retry_budget(&admitted.service, |budget| budget.record_request(now));
     if shared
         .shutdown_time_left()
         .is_some_and(|left| left < LAST_CALLS)
     {
-        return admitted.refuse(shared, &refuse::stopping());
+        return admitted.refuse(shared, &refuse::host_stopping());
     }
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     let mut may_have_run = 0;
     let mut failure: Option<FailedAnswer> = None;
     loop {
@@ -109,7 +109,7 @@
             return exhausted(shared, &admitted, may_have_run, tries.len(), failure);
         };
         let upstream = candidate.upstream;
-        tries.begin(&upstream.id);
+        tries.add(&upstream.id);
         let _trial = shared.begin_send(&upstream.id);
         let last = is_last(&admitted, may_have_run);
         let sent_at = Instant::now();
@@ -119,8 +119,8 @@
             shared.record_rollout_outcome(&admitted, &upstream, Measure::Whole, tried);
         }
         let reached = match outcome {
-            Attempted::Unreachable(_) => Reached::Unreachable,
-            _ => Reached::Sent,
+            Attempted::Unreachable(_) => Delivery::Unreachable,
+            _ => Delivery::Sent,
         };
         let reason = match outcome {
             Attempted::Answered(answer) if may_repeat_answer(&admitted, &answer, last) => {
@@ -146,7 +146,7 @@
                 "no answer in time".to_owned()
             }
         };
-        if !tries.go_on(shared, &admitted, reached, &reason) {
+        if !tries.decide_retry(shared, &admitted, reached, &reason) {
             return exhausted(shared, &admitted, may_have_run, tries.len(), failure);
         }
     }
@@ -170,7 +170,7 @@
 async fn attempt(front: &Front, admitted: &Admitted, upstream: &Upstream, last: bool) -> Attempted {
     let shared = &front.shared;
     shared.record_send(upstream);
-    let _occupied = shared.loads().occupy(&upstream.id, 0, 0);
+    let _occupied = shared.loads().add_request(&upstream.id, 0, 0);
     let mut limit = admitted.time_left().saturating_sub(DEADLINE_MARGIN);
     if !last {
         limit = limit.min(admitted.route.objective * ATTEMPT_OBJECTIVES);
--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -1,9 +1,10 @@
-//! What runs at each upstream, by this host's own count and by its peers'.
+//! The load of each upstream, from this host's own counts and from the reports of its peers.
 //!
-//! Upstreams' own reports are half a second old; the hosts' counts are as old as a datagram. In a large fleet each
-//! data centre speaks for its own upstreams: its hosts tell each other what they run, and hosts of other data centres
-//! tell them what they run there, so any of them knows all that its upstreams run. One word of a data centre is
-//! therefore whole, but for what the data centre that it is for runs there itself.
+//! Upstreams' own reports are half a second old; the hosts' counts are as old as a datagram. In a
+//! large fleet each data centre summarises its own upstreams: its hosts report their requests to
+//! each other, and hosts of other data centres report the requests that they run there, so each of
+//! its hosts knows the whole load of its upstreams. A summary is therefore complete, except that it
+//! leaves out the requests of the data centre that receives it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,17 +22,17 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// What a peer told counts for this long: two rounds between data centres, or a short cut.
-const PEER_COUNT_LASTS: Duration = Duration::from_millis(4_000);
+/// Time for which a peer's report counts: two gossip rounds between data centres, or a short partition.
+const PEER_REPORT_TTL: Duration = Duration::from_millis(4_000);
 
-/// Work at an upstream.
+/// Load of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Running requests.
     pub requests: u32,
     /// Tokens of memory that they are predicted to need.
     pub tokens: u32,
-    /// Tokens of the prompts among them that are not read yet.
+    /// Prompt tokens among them that the upstream has not read yet.
     pub unread_tokens: u32,
 }
 
@@ -49,51 +50,58 @@
     }
 }
 
-/// One host's counts.
+/// The latest report of one source.
 #[derive(Debug, Clone)]
-struct PeerLoads {
-    at: Time,
+struct PeerReport {
+    received_at: Time,
     loads: HashMap<InstanceKey, Load>,
 }
 
-/// Who tells of loads.
+/// The source and scope of a report.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Teller {
-    /// A host of all that it runs.
+pub enum ReportSource {
+    /// A host that reports all its requests.
     Host(HostId),
-    /// A host of another data centre of what it runs in this one.
-    Visitor {
+    /// A host of another data centre that reports its requests at upstreams of this one.
+    RemoteHost {
         /// The host.
         host: HostId,
         /// Its data centre.
         data_centre: DataCentre,
     },
-    /// A host of another data centre of what runs at the upstreams there. The next one there tells the same.
+    /// Another data centre's summary of the load of its upstreams, from any of its hosts: a later
+    /// summary from another host replaces it.
     DataCentre(DataCentre),
 }
 
-/// The counts of all hosts.
+/// The load of all upstreams.
 #[derive(Debug, Default)]
 pub struct Loads {
     own: BTreeMap<InstanceId, Load>,
-    peers: HashMap<Teller, PeerLoads>,
-    /// Of what all peers tell.
+    peers: HashMap<ReportSource, PeerReport>,
+    /// Sums over the reports of all peers, so that the load of one upstream is found without visiting each.
     sums: HashMap<InstanceKey, Load>,
 }
 
 impl Loads {
-    /// Takes a peer's counts.
-    pub fn hear(&mut self, now: Time, teller: Teller, loads: Vec<(InstanceKey, Load)>) {
+    /// Replaces the report of `source`.
+    pub fn receive(&mut self, now: Time, source: ReportSource, loads: Vec<(InstanceKey, Load)>) {
         let loads: HashMap<InstanceKey, Load> = loads.into_iter().collect();
         for (key, load) in &loads {
             self.sums.entry(*key).or_default().add(*load);
         }
-        let before = self.peers.insert(teller, PeerLoads { at: now, loads });
-        self.forget(before.as_slice());
+        let previous = self.peers.insert(
+            source,
+            PeerReport {
+                received_at: now,
+                loads,
+            },
+        );
+        self.subtract_reports(previous.as_slice());
     }
 
-    fn forget(&mut self, told: &[PeerLoads]) {
-        for (key, load) in told.iter().flat_map(|told| &told.loads) {
+    fn subtract_reports(&mut self, reports: &[PeerReport]) {
+        for (key, load) in reports.iter().flat_map(|report| &report.loads) {
             let Some(sum) = self.sums.get_mut(key) else {
                 continue;
             };
@@ -104,78 +112,82 @@
         }
     }
 
-    /// Forgets peers that are silent.
-    pub fn lapse(&mut self, now: Time) {
-        let is_silent = |peer: &PeerLoads| now.since(peer.at) >= PEER_COUNT_LASTS;
-        let silent = self.peers.extract_if(|_, peer| is_silent(peer));
-        let silent: Vec<PeerLoads> = silent.map(|(_, peer)| peer).collect();
-        self.forget(&silent);
+    /// Removes reports that were not renewed within their time to live.
+    pub fn expire(&mut self, now: Time) {
+        let is_expired = |peer: &PeerReport| now.since(peer.received_at) >= PEER_REPORT_TTL;
+        let expired = self.peers.extract_if(|_, peer| is_expired(peer));
+        let expired: Vec<PeerReport> = expired.map(|(_, peer)| peer).collect();
+        self.subtract_reports(&expired);
     }
 
-    /// All that runs at an upstream.
+    /// The load of an upstream over all hosts.
     pub fn at(&self, upstream: &InstanceId) -> Load {
         let mut sum = self.own.get(upstream).copied().unwrap_or_default();
         sum.add(self.sums.get(&upstream.key()).copied().unwrap_or_default());
         sum
     }
 
-    /// This host's own counts, for its peers.
+    /// This host's own load at each upstream.
     pub fn own(&self) -> Vec<(InstanceKey, Load)> {
         let own = self.own.iter();
         own.map(|(upstream, load)| (upstream.key(), *load))
             .collect()
     }
 
-    /// What runs at the upstreams of this data centre, as `is_home` tells, but for what hosts of `receiver` run there, for these.
-    pub fn data_centre(
+    /// The load of the upstreams for which `is_local` is true, those of this data centre, as a report for
+    /// `receiver`: without the requests of the receiver's own hosts.
+    pub fn summary_for(
         &self,
-        is_home: impl Fn(InstanceKey) -> bool,
+        is_local: impl Fn(InstanceKey) -> bool,
         receiver: &DataCentre,
     ) -> Vec<(InstanceKey, Load)> {
-        let is_told = |teller: &Teller| match teller {
-            Teller::Host(_) => true,
-            Teller::Visitor { data_centre, .. } => data_centre != receiver,
-            Teller::DataCentre(_) => false,
+        let is_included = |source: &ReportSource| match source {
+            ReportSource::Host(_) => true,
+            ReportSource::RemoteHost { data_centre, .. } => data_centre != receiver,
+            ReportSource::DataCentre(_) => false,
         };
-        let told = self.peers.iter().filter(|(teller, _)| is_told(teller));
-        let told = told.flat_map(|(_, told)| told.loads.iter().map(|(key, load)| (*key, *load)));
+        let reported = self.peers.iter().filter(|(source, _)| is_included(source));
+        let reported =
+            reported.flat_map(|(_, report)| report.loads.iter().map(|(key, load)| (*key, *load)));
         let mut sums: BTreeMap<InstanceKey, Load> = BTreeMap::new();
-        for (key, load) in self.own().into_iter().chain(told) {
-            if is_home(key) {
+        for (key, load) in self.own().into_iter().chain(reported) {
+            if is_local(key) {
                 sums.entry(key).or_default().add(load);
             }
         }
         sums.into_iter().collect()
     }
 
-    /// What this host runs, by the data centre of the upstream that `place` tells.
-    pub fn own_by_place(
+    /// This host's own load, grouped by the data centre that `data_centre_of` returns for an upstream.
+    pub fn own_by_data_centre(
         &self,
-        place: impl Fn(&InstanceId) -> Option<DataCentre>,
+        data_centre_of: impl Fn(&InstanceId) -> Option<DataCentre>,
     ) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
-        let mut by_place: BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> = BTreeMap::new();
         for (upstream, load) in &self.own {
-            if let Some(data_centre) = place(upstream) {
-                by_place
+            if let Some(data_centre) = data_centre_of(upstream) {
+                by_data_centre
                     .entry(data_centre)
                     .or_default()
                     .push((upstream.key(), *load));
             }
         }
-        by_place
+        by_data_centre
     }
 
-    /// Time since a data centre's last word.
-    pub fn word_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
-        let word = self.peers.get(&Teller::DataCentre(data_centre.clone()));
-        word.map(|word| now.since(word.at))
+    /// Time since the last summary from a data centre.
+    pub fn report_age(&self, now: Time, data_centre: &DataCentre) -> Option<Duration> {
+        let report = self
+            .peers
+            .get(&ReportSource::DataCentre(data_centre.clone()));
+        report.map(|report| now.since(report.received_at))
     }
 
-    fn start(&mut self, upstream: &InstanceId, load: Load) {
+    fn add_own(&mut self, upstream: &InstanceId, load: Load) {
         self.own.entry(upstream.clone()).or_default().add(load);
     }
 
-    fn end(&mut self, upstream: &InstanceId, load: Load) {
+    fn subtract_own(&mut self, upstream: &InstanceId, load: Load) {
         let Some(sum) = self.own.get_mut(upstream) else {
             return;
         };
@@ -186,43 +198,43 @@
     }
 }
 
-/// A handle on the counts; clones share them.
+/// A handle on [`Loads`]; clones share the same state.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBoard(Arc<Mutex<Loads>>);
+pub struct SharedLoads(Arc<Mutex<Loads>>);
 
-impl LoadBoard {
-    /// Runs `use_loads` on the counts.
-    pub fn with<T>(&self, use_loads: impl FnOnce(&mut Loads) -> T) -> T {
-        use_loads(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+impl SharedLoads {
+    /// Runs `access` on the loads under the lock.
+    pub fn with<T>(&self, access: impl FnOnce(&mut Loads) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Counts one request at an upstream until the guard is dropped. Its prompt counts as unread
-    /// until [`Occupied::prompt_read`].
-    pub fn occupy(&self, upstream: &InstanceId, tokens: u32, prompt_tokens: u32) -> Occupied {
+    /// Adds one request to an upstream's load until the guard is dropped. Its prompt counts as unread
+    /// until [`LoadGuard::mark_prompt_read`].
+    pub fn add_request(&self, upstream: &InstanceId, tokens: u32, prompt_tokens: u32) -> LoadGuard {
         let load = Load {
             requests: 1,
             tokens,
             unread_tokens: prompt_tokens,
         };
-        self.with(|loads| loads.start(upstream, load));
-        Occupied {
-            board: self.clone(),
+        self.with(|loads| loads.add_own(upstream, load));
+        LoadGuard {
+            shared: self.clone(),
             upstream: upstream.clone(),
             load,
         }
     }
 }
 
-/// Work that is counted at an upstream.
+/// A request that counts towards an upstream's load until this is dropped.
 #[derive(Debug)]
-pub struct Occupied {
-    board: LoadBoard,
+pub struct LoadGuard {
+    shared: SharedLoads,
     upstream: InstanceId,
     load: Load,
 }
 
-impl Occupied {
-    /// The request turns out to need this much memory.
+impl LoadGuard {
+    /// Raises the memory that the request is predicted to need to `tokens`; a lower value changes nothing.
     pub fn grow_to(&mut self, tokens: u32) {
         let more = Load {
             tokens: tokens.saturating_sub(self.load.tokens),
@@ -230,25 +242,26 @@
         };
         self.load.add(more);
         let upstream = &self.upstream;
-        self.board.with(|loads| loads.start(upstream, more));
+        self.shared.with(|loads| loads.add_own(upstream, more));
     }
 
-    /// The upstream has read the request's prompt.
-    pub fn prompt_read(&mut self) {
-        let read = Load {
+    /// Records that the upstream has read the request's prompt.
+    pub fn mark_prompt_read(&mut self) {
+        let unread = Load {
             unread_tokens: std::mem::take(&mut self.load.unread_tokens),
             ..Load::default()
         };
         let upstream = &self.upstream;
-        self.board.with(|loads| loads.end(upstream, read));
+        self.shared
+            .with(|loads| loads.subtract_own(upstream, unread));
     }
 }
 
-impl Drop for Occupied {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         let upstream = &self.upstream;
         let load = self.load;
-        self.board.with(|loads| loads.end(upstream, load));
+        self.shared.with(|loads| loads.subtract_own(upstream, load));
     }
 }
 
--- a/src/gateway/losses.rs
+++ b/src/gateway/losses.rs
@@ -1,8 +1,8 @@
-//! What became of requests that were not served in time, by cause, read from hosts' log lines.
+//! Counts the requests that were not served in time, by cause, from the hosts' logs.
 //!
-//! A request's end is the last of its lines that tells one. A generation whose end no host tells was
-//! running when its host ended. Lines of several hosts may be mixed; what stands before a line's JSON
-//! object is passed over.
+//! The last log entry of a request that reports an end decides its cause. A generation without such an
+//! entry was running when its host ended. Entries of several hosts may be mixed, and text before an
+//! entry's JSON object is skipped.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -10,16 +10,17 @@
 
 use serde::Deserialize;
 
-/// A run that broke so soon after its engine's notice went with the engine; engines give 1.5 to 2.1 s.
-const NOTICE_LASTS: Duration = Duration::from_millis(3_500);
+/// Time after an engine's notice of leaving within which a broken generation is attributed to it. Engines
+/// give 1.5 to 2.1 s of notice.
+const NOTICE_PERIOD_MAX: Duration = Duration::from_millis(3_500);
 
-/// Bounds beyond which a stream was late.
+/// Limits beyond which a stream counts as late.
 #[derive(Debug, Clone, Copy)]
-pub struct Bounds {
+pub struct Thresholds {
     /// Time until the first event.
-    pub first: Duration,
-    /// Pause between two events.
-    pub pause: Duration,
+    pub first_event: Duration,
+    /// Time between two events.
+    pub gap: Duration,
 }
 
 /// Why a request was not served in time.
@@ -27,27 +28,27 @@
 pub enum Cause {
     /// Its host ended.
     HostEnded,
-    /// Its engine left before the run was moved.
+    /// Its engine left before the generation was migrated.
     EngineLeft,
-    /// Its stream broke otherwise.
+    /// Its stream broke for another reason.
     Broken,
-    /// Its caller left.
+    /// Its caller disconnected.
     CallerLeft,
     /// It was refused or failed with this code.
     Refused(String),
-    /// Its upstream answered with this status.
+    /// Its upstream answered with this status of 500 or above.
     UpstreamError(u16),
-    /// Its first event came late.
-    LateFirst,
-    /// It paused too long.
-    Paused {
-        /// After its run was moved.
+    /// Its first event was late.
+    FirstEventLate,
+    /// Two of its events were too far apart.
+    Stalled {
+        /// Whether the generation was migrated before it ended.
         moved: bool,
     },
 }
 
 impl Cause {
-    /// The cause for a person.
+    /// The text that `cedargauge losses` prints.
     pub fn describe(&self) -> String {
         match self {
             Cause::HostEnded => "host ended".to_owned(),
@@ -56,16 +57,16 @@
             Cause::CallerLeft => "caller left".to_owned(),
             Cause::Refused(code) => format!("refused: {code}"),
             Cause::UpstreamError(status) => format!("upstream answered {status}"),
-            Cause::LateFirst => "first event late".to_owned(),
-            Cause::Paused { moved: true } => "paused, was moved".to_owned(),
-            Cause::Paused { moved: false } => "paused".to_owned(),
+            Cause::FirstEventLate => "first event late".to_owned(),
+            Cause::Stalled { moved: true } => "paused, was moved".to_owned(),
+            Cause::Stalled { moved: false } => "paused".to_owned(),
         }
     }
 }
 
-/// The fields of a line that are read here.
+/// The fields of a log entry that are used here.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogEntry {
     name: String,
     wall_ms: u64,
     #[serde(default)]
@@ -86,48 +87,48 @@
     moves: Option<u32>,
 }
 
-/// How many requests of each kind ended how.
+/// Number of requests and of losses by cause.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Requests by kind of route.
+    /// All requests, by kind of route.
     pub requests: BTreeMap<String, u32>,
     /// Requests not served in time, by kind of route and cause.
     pub lost: BTreeMap<(String, Cause), u32>,
-    /// Lines that were no log lines.
+    /// Lines without a log entry.
     pub skipped: u32,
 }
 
-/// Tallies log lines.
-pub fn tally<'a>(lines: impl Iterator<Item = &'a str>, bounds: Bounds) -> Losses {
+/// Counts requests and losses in the lines of logs.
+pub fn tally<'a>(lines: impl Iterator<Item = &'a str>, thresholds: Thresholds) -> Losses {
     let mut losses = Losses::default();
     let mut notices: HashMap<String, u64> = HashMap::new();
-    let mut requests: BTreeMap<String, (String, Option<Line>)> = BTreeMap::new();
+    let mut requests: BTreeMap<String, (String, Option<LogEntry>)> = BTreeMap::new();
     for text in lines {
-        let Some(line) = parse(text) else {
+        let Some(entry) = parse_entry(text) else {
             losses.skipped += 1;
             continue;
         };
-        if let ("UpstreamLeaving", Some(upstream)) = (line.name.as_str(), &line.upstream) {
-            notices.entry(upstream.clone()).or_insert(line.wall_ms);
+        if let ("UpstreamLeaving", Some(upstream)) = (entry.name.as_str(), &entry.upstream) {
+            notices.entry(upstream.clone()).or_insert(entry.wall_ms);
         }
-        let (Some(request), Some(kind)) = (line.request.clone(), line.kind.clone()) else {
+        let (Some(request), Some(kind)) = (entry.request.clone(), entry.kind.clone()) else {
             continue;
         };
-        let entry = requests.entry(request).or_insert((kind, None));
-        if is_end(&line.name) {
-            entry.1 = Some(line);
+        let tallied = requests.entry(request).or_insert((kind, None));
+        if is_end(&entry.name) {
+            tallied.1 = Some(entry);
         }
     }
     for (kind, end) in requests.into_values() {
         *losses.requests.entry(kind.clone()).or_default() += 1;
-        if let Some(cause) = cause(&kind, end.as_ref(), &notices, bounds) {
+        if let Some(cause) = find_cause(&kind, end.as_ref(), &notices, thresholds) {
             *losses.lost.entry((kind, cause)).or_default() += 1;
         }
     }
     losses
 }
 
-fn parse(text: &str) -> Option<Line> {
+fn parse_entry(text: &str) -> Option<LogEntry> {
     let from = text.find('{')?;
     serde_json::from_str(&text[from..]).ok()
 }
@@ -139,11 +140,11 @@
     )
 }
 
-fn cause(
+fn find_cause(
     kind: &str,
-    end: Option<&Line>,
+    end: Option<&LogEntry>,
     notices: &HashMap<String, u64>,
-    bounds: Bounds,
+    thresholds: Thresholds,
 ) -> Option<Cause> {
     let Some(end) = end else {
         return (kind == "stream").then_some(Cause::HostEnded);
@@ -151,31 +152,36 @@
     match end.name.as_str() {
         "CallerLeft" => Some(Cause::CallerLeft),
         "RequestRefused" => Some(Cause::Refused(end.code.clone().unwrap_or_default())),
-        "RequestFailed" if left_with_engine(end, notices) => Some(Cause::EngineLeft),
+        "RequestFailed" if broke_after_notice(end, notices) => Some(Cause::EngineLeft),
         "RequestFailed" => Some(Cause::Broken),
-        _ => late_or_failed(end, bounds),
+        _ => late_or_failed(end, thresholds),
     }
 }
 
-fn left_with_engine(end: &Line, notices: &HashMap<String, u64>) -> bool {
+fn broke_after_notice(end: &LogEntry, notices: &HashMap<String, u64>) -> bool {
     let notice = end
         .upstream
         .as_ref()
         .and_then(|upstream| notices.get(upstream));
-    notice.is_some_and(|at| u128::from(end.wall_ms.saturating_sub(*at)) < NOTICE_LASTS.as_millis())
+    notice.is_some_and(|at| {
+        u128::from(end.wall_ms.saturating_sub(*at)) < NOTICE_PERIOD_MAX.as_millis()
+    })
 }
 
-fn late_or_failed(end: &Line, bounds: Bounds) -> Option<Cause> {
+fn late_or_failed(end: &LogEntry, thresholds: Thresholds) -> Option<Cause> {
     if let Some(status) = end.status.filter(|status| *status >= 500) {
         return Some(Cause::UpstreamError(status));
     }
-    let millis = |bound: Duration| bound.as_secs_f64() * 1_000.0;
-    if end.first_ms.is_some_and(|ms| ms > millis(bounds.first)) {
-        return Some(Cause::LateFirst);
+    let millis = |limit: Duration| limit.as_secs_f64() * 1_000.0;
+    if end
+        .first_ms
+        .is_some_and(|ms| ms > millis(thresholds.first_event))
+    {
+        return Some(Cause::FirstEventLate);
     }
-    let pause_ms = end.gap_max_ms.unwrap_or(0) as f64;
+    let gap_ms = end.gap_max_ms.unwrap_or(0) as f64;
     let moved = end.moves.unwrap_or(0) > 0;
-    (pause_ms > millis(bounds.pause)).then_some(Cause::Paused { moved })
+    (gap_ms > millis(thresholds.gap)).then_some(Cause::Stalled { moved })
 }
 
 #[cfg(test)]
--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -19,7 +19,7 @@
 use crate::gateway::admit::WaitEstimate;
 use crate::gateway::enginestats::EngineStats;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Occupied;
+use crate::gateway::loads::LoadGuard;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::rollouts::Track;
@@ -273,7 +273,7 @@
 struct Reservation {
     upstream: InstanceId,
     tokens: u32,
-    _occupied: Occupied,
+    _occupied: LoadGuard,
 }
 
 impl Reservation {
@@ -281,7 +281,7 @@
         let best = serve::choose(shared, need, candidates)?;
         let tokens = need.tokens();
         let upstream = best.upstream.id.clone();
-        let occupied = shared.loads().occupy(&upstream, tokens, 0);
+        let occupied = shared.loads().add_request(&upstream, tokens, 0);
         shared.announce_now();
         Some(Reservation {
             upstream,
--- a/src/gateway/retrybudget.rs
+++ b/src/gateway/retrybudget.rs
@@ -1,35 +1,37 @@
-//! A retry budget that all hosts share without asking each other: each takes its part of the fixed
-//! allowance and a ratio of its own requests, over a sliding window.
+//! A retry budget that all hosts share without coordination: each uses its share of a fixed allowance
+//! and a ratio of its own requests, over a sliding window.
 //!
-//! A process knows what it has spent and not what the one before it has, so hosts that start again in series would
-//! spend their part each time. In its first window a process uses the share that older ones leave, and of the fixed
-//! allowance only what its age has earned: all processes of a host together then stay within its part.
+//! A process doesn't know how much the previous process of its host spent, so a host that restarts
+//! repeatedly could spend its share each time. In its first window a process is therefore limited
+//! to the part of the budget that older processes leave unused, and its share of the allowance
+//! grows with its uptime. All processes of a host together then stay within its share.
 //!
-//! Where hosts are so many that the part of one is less than a retry, a host that has run for a window takes one by lot:
-//! as many hosts do as their parts make together.
+//! In a large fleet the share of a host can be less than one retry. A host that has run for a
+//! window then rounds it up to one with a probability equal to the share, so that the fleet as a
+//! whole uses the sum of its shares.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Share of the budget that a process uses once it has run for a window.
-const USED_SHARE: f64 = 0.6;
-/// Share of it that processes use in their first window.
-const USED_SHARE_AT_START: f64 = 1.0 - USED_SHARE;
+/// Part of its budget that a process uses once it has run for a window.
+const STEADY_SHARE: f64 = 0.6;
+/// Part of its budget that a process uses in its first window.
+const FIRST_WINDOW_SHARE: f64 = 1.0 - STEADY_SHARE;
 
-/// Bounds of the budget over all hosts.
+/// Limits of the budget over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetOptions {
-    /// Retries allowed for each request.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Retries allowed in a window beside.
+    /// Retries allowed in a window in addition.
     pub allowance: f64,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// What a budget holds at one moment.
+/// State of a budget at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Balance {
     /// Requests in the window.
@@ -41,7 +43,7 @@
 }
 
 impl Balance {
-    /// Whether one retry more is allowed.
+    /// Whether one more retry is allowed.
     pub fn has_room(&self) -> bool {
         self.retries as f64 + 1.0 <= self.allowed
     }
@@ -51,42 +53,42 @@
 #[derive(Debug)]
 pub struct SharedRetryBudget {
     options: RetryBudgetOptions,
-    lot: f64,
+    draw: f64,
     requests: VecDeque<Time>,
     retries: VecDeque<Time>,
 }
 
 impl SharedRetryBudget {
-    /// A budget that nothing was taken from. `lot` is drawn from 0 to 1.
-    pub fn new(options: RetryBudgetOptions, lot: f64) -> Self {
+    /// Creates an unused budget. `draw` is a random number from 0 to 1.
+    pub fn new(options: RetryBudgetOptions, draw: f64) -> Self {
         SharedRetryBudget {
             options,
-            lot,
+            draw,
             requests: VecDeque::new(),
             retries: VecDeque::new(),
         }
     }
 
-    /// A request arrived.
-    pub fn requested(&mut self, now: Time) {
-        self.forget(now);
+    /// Records the arrival of a request.
+    pub fn record_request(&mut self, now: Time) {
+        self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// A request is sent once more whatever the budget says, and counts.
+    /// Records a retry that is made even if the budget is used up.
     pub fn charge(&mut self, now: Time) {
         self.retries.push_back(now);
     }
 
-    /// What the budget holds if `hosts` hosts share the allowance. `now` counts from the start of the process.
+    /// The balance if `hosts` hosts share the allowance. `now` counts from the start of the process.
     pub fn balance(&mut self, now: Time, hosts: usize) -> Balance {
-        self.forget(now);
-        let part = self.options.allowance / hosts.max(1) as f64;
+        self.expire(now);
+        let share = self.options.allowance / hosts.max(1) as f64;
         let earned = self.options.ratio * self.requests.len() as f64;
         let age = now.since(Time::ZERO).div_duration_f64(self.options.window);
         let allowed = match age < 1.0 {
-            true => (earned + part * age) * USED_SHARE_AT_START,
-            false => self.one_by_lot((earned + part) * USED_SHARE),
+            true => (earned + share * age) * FIRST_WINDOW_SHARE,
+            false => self.round_up_by_draw((earned + share) * STEADY_SHARE),
         };
         Balance {
             requests: self.requests.len(),
@@ -95,14 +97,15 @@
         }
     }
 
-    fn one_by_lot(&self, allowed: f64) -> f64 {
-        match allowed < 1.0 && self.lot < allowed {
+    /// Rounds a budget below one retry up to one with a probability equal to the budget.
+    fn round_up_by_draw(&self, allowed: f64) -> f64 {
+        match allowed < 1.0 && self.draw < allowed {
             true => 1.0,
             false => allowed,
         }
     }
 
-    /// Takes one retry, if `hosts` hosts that share the allowance leave this one any.
+    /// Takes one retry if there is room. `hosts` hosts share the allowance.
     pub fn try_retry(&mut self, now: Time, hosts: usize) -> bool {
         let has_room = self.balance(now, hosts).has_room();
         if has_room {
@@ -111,7 +114,8 @@
         has_room
     }
 
-    fn forget(&mut self, now: Time) {
+    /// Drops requests and retries that are older than the window.
+    fn expire(&mut self, now: Time) {
         for times in [&mut self.requests, &mut self.retries] {
             while times
                 .front()
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -12,8 +12,8 @@
 use super::share;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Teller;
 use crate::gateway::rollouts::DueStep;
+use crate::gateway::loads::ReportSource;
 use crate::gateway::rollouts::ExposureBound;
 use crate::gateway::rollouts::RolloutOrder;
 use crate::gateway::rollouts::RolloutRecord;
@@ -259,7 +259,7 @@
                     continue;
                 }
                 host.rollouts.receive(now, rollouts);
-                let teller = Teller::Host(HostId::new(format!("host-{from}")));
+                let teller = ReportSource::Host(HostId::new(format!("host-{from}")));
                 host.evidences.hear(now, teller, evidences.clone());
             }
         }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -29,9 +29,9 @@
 use crate::gateway::hearsay::Hearsay;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining::Seeds;
-use crate::gateway::loads::LoadBoard;
 use crate::gateway::movequeue::MoveQueueHandle;
 use crate::gateway::partition::PartitionDetector;
+use crate::gateway::loads::SharedLoads;
 use crate::gateway::peerfetch::ListCache;
 use crate::gateway::peers::Fetch;
 use crate::gateway::peers::Peers;
@@ -40,7 +40,7 @@
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Protocol;
 use crate::gateway::queue::QueueHandle;
-use crate::gateway::reach::Reach;
+use crate::gateway::reachability::Reachability;
 use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
@@ -80,7 +80,7 @@
     clock: SystemClock,
     log: DecisionLog,
     gate: Arc<Gate>,
-    loads: LoadBoard,
+    loads: SharedLoads,
     load_reports: watch::Sender<u64>,
     load_queries: watch::Sender<u64>,
     turns: MoveQueueHandle,
@@ -91,7 +91,7 @@
     relayed_changes: Mutex<Hearsay>,
     peers: Mutex<Peers>,
     ejector: Mutex<Ejector<InstanceId>>,
-    reachability: Mutex<Reach>,
+    reachability: Mutex<Reachability>,
     reported_loads: Mutex<ReportedLoads>,
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
@@ -136,7 +136,7 @@
             clock,
             log,
             gate: Gate::new(),
-            loads: LoadBoard::default(),
+            loads: SharedLoads::default(),
             load_reports: watch::channel(0).0,
             load_queries: watch::channel(0).0,
             turns: MoveQueueHandle::default(),
@@ -198,7 +198,7 @@
     }
 
     /// The requests that run at each upstream, as known to this host.
-    pub fn loads(&self) -> &LoadBoard {
+    pub fn loads(&self) -> &SharedLoads {
         &self.0.loads
     }
 
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -29,7 +29,7 @@
         for applied in changes {
             if let Some(ended) = &applied.ended {
                 lock(&self.0.ejector).forget(ended);
-                lock(&self.0.reachability).forget(ended);
+                lock(&self.0.reachability).remove(ended);
             }
             match source {
                 ChangeSource::Local(source) => self.log_change(&applied, source),
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -26,7 +26,7 @@
     /// Records that a connection to an upstream could not be established.
     pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
-        if lock(&self.0.reachability).failed(now, upstream) {
+        if lock(&self.0.reachability).record_failure(now, upstream) {
             let line = self.log().line(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
@@ -39,7 +39,7 @@
     pub fn receive_unreachable(&self, peer: &HostId, upstreams: &[InstanceId]) {
         let now = self.now();
         for upstream in upstreams {
-            if lock(&self.0.reachability).hear(now, upstream) {
+            if lock(&self.0.reachability).receive_report(now, upstream) {
                 let line = self.log().line(EventCode::UpstreamLost);
                 line.with("upstream", upstream.as_str())
                     .with("source", peer.as_str())
@@ -50,14 +50,14 @@
 
     /// Upstreams that this host itself can't connect to now.
     pub fn unreachable_upstreams(&self) -> Vec<InstanceId> {
-        lock(&self.0.reachability).first_hand(self.now())
+        lock(&self.0.reachability).own_failures(self.now())
     }
 
     /// Records the load that an upstream reports in response headers, if it reports one.
     pub(crate) fn record_reported_load(&self, upstream: &InstanceId, headers: &HeaderMap) {
         if let Some(reported) = self.protocol().reported_load(headers) {
             let now = self.now();
-            lock(&self.0.reported_loads).note(now, upstream.key(), reported);
+            lock(&self.0.reported_loads).record(now, upstream.key(), reported);
         }
     }
 
@@ -73,12 +73,12 @@
     /// Forgets outdated load reports of upstreams.
     pub(crate) fn expire_reported_loads(&self) {
         let now = self.now();
-        lock(&self.0.reported_loads).lapse(now);
+        lock(&self.0.reported_loads).expire(now);
     }
 
     /// Records that a connection to an upstream was established.
     pub fn record_reached(&self, upstream: &InstanceId) {
-        if lock(&self.0.reachability).reached(self.now(), upstream) {
+        if lock(&self.0.reachability).record_success(self.now(), upstream) {
             let line = self.log().line(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
                 .with("change", "reached")
@@ -104,7 +104,7 @@
 
     /// Whether connections to an upstream have failed recently, here or at another host.
     pub(crate) fn is_unreachable(&self, now: Time, upstream: &InstanceId) -> bool {
-        lock(&self.0.reachability).is_passed_over(now, upstream)
+        lock(&self.0.reachability).is_unreachable(now, upstream)
     }
 
     /// Whether a network partition separates this host from all upstreams of a service that other hosts may
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -13,6 +13,8 @@
 use tokio::time::Instant;
 
 use crate::event::EventCode;
+use crate::gateway::attempts::Attempts;
+use crate::gateway::attempts::Delivery;
 use crate::gateway::call;
 use crate::gateway::call::CONNECT_TIMEOUT;
 use crate::gateway::call::WholeAnswer;
@@ -25,7 +27,7 @@
 use crate::gateway::exchange::Whole;
 use crate::gateway::forward::AttemptHeaders;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Occupied;
+use crate::gateway::loads::LoadGuard;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::GenerationSize;
@@ -37,8 +39,6 @@
 use crate::gateway::serve::Front;
 use crate::gateway::shared::Shared;
 use crate::gateway::stream::relay::Relay;
-use crate::gateway::tries::Reached;
-use crate::gateway::tries::Tries;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
 
@@ -73,7 +73,7 @@
     body: Incoming,
     /// Closes with the run.
     _connection: Connection,
-    occupied: Occupied,
+    occupied: LoadGuard,
     sent_at: Instant,
     /// Tokens to be read before its first event, its own among them.
     unread_tokens: u32,
@@ -108,7 +108,7 @@
 /// A request on its way to an engine.
 struct Sending<'a> {
     upstream: &'a Arc<Upstream>,
-    occupied: Occupied,
+    occupied: LoadGuard,
     /// Tokens to be read there before its first event, its own among them.
     unread_tokens: u32,
     continuation: Option<&'a Continuation>,
@@ -125,11 +125,11 @@
 pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
-    shared.retry_budget(&admitted.service, |budget| budget.requested(now));
+    shared.retry_budget(&admitted.service, |budget| budget.record_request(now));
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
         return admitted.refuse(shared, &refusal);
     }
-    let mut tries = Tries::default();
+    let mut tries = Attempts::default();
     loop {
         let need = need(shared, &admitted);
         let candidate = match choose_engine(shared, &admitted, need, tries.upstreams()).await {
@@ -143,7 +143,7 @@
             .queues()
             .track_running(admitted.customer.as_ref(), need.tokens());
         let upstream = candidate.upstream;
-        tries.begin(&upstream.id);
+        tries.add(&upstream.id);
         let _trial = shared.begin_send(&upstream.id);
         let line = admitted.line(shared, EventCode::RequestDispatched);
         line.with("upstream", upstream.id.as_str())
@@ -180,13 +180,13 @@
                 let message = format!("{}: {reason}", upstream.id);
                 return admitted.refuse(shared, &Refusal::unknown(Code::UpstreamFailed, message));
             }
-            Opened::Unreachable(reason) => (Reached::Unreachable, reason),
+            Opened::Unreachable(reason) => (Delivery::Unreachable, reason),
             Opened::NotRun(reason) => {
                 shared.record_failure(&admitted.service, &upstream.id, &reason);
-                (Reached::Sent, reason)
+                (Delivery::Sent, reason)
             }
         };
-        if !tries.go_on(shared, &admitted, reached, &reason) {
+        if !tries.decide_retry(shared, &admitted, reached, &reason) {
             return refuse_unplaced(shared, &admitted, tries.len(), &reason);
         }
     }
@@ -281,7 +281,9 @@
         _ => 0,
     };
     shared.record_send(upstream);
-    let occupied = shared.loads().occupy(&upstream.id, tokens, unread_tokens);
+    let occupied = shared
+        .loads()
+        .add_request(&upstream.id, tokens, unread_tokens);
     let load = shared.loads().with(|loads| loads.at(&upstream.id));
     shared.announce_now();
     let sending = Sending {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -19,13 +19,13 @@
 use crate::gateway::destinations::Scope;
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::loads::Occupied;
 use crate::gateway::movequeue::Ticket;
+use crate::gateway::loads::LoadGuard;
+use crate::gateway::migration;
+use crate::gateway::migration::CopyFailure;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::CopyDone;
-use crate::gateway::rescue;
-use crate::gateway::rescue::CopyFailure;
 use crate::gateway::serve;
 use crate::gateway::serve::Breadth;
 use crate::telemetry;
@@ -88,7 +88,7 @@
 
 /// What a move holds until the run goes on elsewhere.
 pub(super) struct Held {
-    _room: Occupied,
+    _room: LoadGuard,
     _turn: Ticket,
 }
 
@@ -146,7 +146,7 @@
         let tokens = size.prompt_tokens + output_planned(size);
         let held = Held {
             // Its link takes one copy after another, so the copy counts as unread until it is used.
-            _room: self.shared.loads().occupy(&to.id, tokens, tokens),
+            _room: self.shared.loads().add_request(&to.id, tokens, tokens),
             _turn: ticket,
         };
         let copying = self.copy(&to, false);
@@ -158,7 +158,7 @@
         let source = self.running.upstream.clone();
         let id = self.admitted.id.clone();
         let to = to.clone();
-        Box::pin(async move { rescue::copy(&shared, &source, &id, &to, last).await })
+        Box::pin(async move { migration::copy(&shared, &source, &id, &to, last).await })
     }
 
     fn pause(&mut self) {
--- a/tests/retrybudget/mod.rs
+++ b/tests/retrybudget/mod.rs
@@ -1,4 +1,4 @@
-//! Retries of hosts that start and stop while upstreams turn everything away.
+//! Retries of hosts that start and stop while upstreams refuse all requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,22 +18,22 @@
 
 const HOSTS: usize = 6;
 const UPSTREAMS: usize = 8;
-/// What the hosts are told of the budget.
+/// The budget in the hosts' settings.
 const RATIO: f64 = 0.2;
 const ALLOWANCE: f64 = 50.0;
 const WINDOW: Duration = Duration::from_secs(10);
-/// Lives of each host.
-const LIVES: usize = 5;
-/// Requests that spend a host's part of the budget.
-const REQUESTS: usize = 6;
-/// Requests that spend the whole budget.
-const REQUESTS_FOR_ALL: usize = 24;
-/// Runs that are moved, more than a host may make retries.
-const RUNS: usize = 45;
-/// Engines that have room for them all.
+/// Processes that each host runs, one after another.
+const PROCESSES_PER_HOST: usize = 5;
+/// Requests that use up a host's share of the budget.
+const REQUESTS_PER_HOST: usize = 6;
+/// Requests that would use up the whole budget.
+const REQUESTS_PER_WHOLE_BUDGET: usize = 24;
+/// Generations that are migrated: more than the retries that a host may make.
+const GENERATIONS: usize = 45;
+/// Engines with room for all of them.
 const ENGINES: usize = 12;
-/// A host that was not heard for so long counts as gone.
-const SILENT: Duration = Duration::from_millis(4_500);
+/// Time without a datagram after which a host counts as gone.
+const PEER_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 fn request(id: usize) -> String {
     format!(
@@ -41,7 +41,7 @@
     )
 }
 
-/// Upstreams that run nothing, and the requests sent so far.
+/// Upstreams that refuse all requests, and the number of requests sent so far.
 struct Pool {
     log: FakeLog,
     upstreams: Vec<FakeUpstream>,
@@ -64,14 +64,14 @@
         }
     }
 
-    fn wait_for(hosts: &[World]) {
+    fn wait_until_ready(hosts: &[World]) {
         for host in hosts {
             assert!(wait_until(|| host.is_ready()), "a host is not ready");
         }
     }
 
-    /// Sends so many requests to each of `hosts` in turn.
-    fn press(&mut self, hosts: &[World], requests: usize) {
+    /// Sends `requests` requests to each of `hosts`, in turn.
+    fn send_requests(&mut self, hosts: &[World], requests: usize) {
         for _ in 0..requests {
             for host in hosts {
                 self.sent += 1;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// When each retry reached an upstream: arrivals beyond the first of each request.
+    /// Arrival times of retries at upstreams: all arrivals of a request but the first.
     fn retries(&self) -> Vec<Instant> {
         let mut arrivals: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
         for seen in self.upstreams.iter().flat_map(FakeUpstream::seen) {
@@ -96,8 +96,8 @@
         retries
     }
 
-    /// The most retries in any window.
-    fn most_retries(&self) -> usize {
+    /// Largest number of retries in any window.
+    fn max_retries_in_window(&self) -> usize {
         let retries = self.retries();
         let from = |first: &Instant| {
             let window = retries.iter().filter(|at| *at >= first);
@@ -113,48 +113,49 @@
     }
 }
 
-// A host that starts must not spend again what its last process spent of the budget.
+// A restarted process must not use the part of the budget that the host's previous process has used.
 #[test]
-fn hosts_that_start_again_and_again_spend_one_retry_budget() {
+fn repeatedly_restarted_hosts_stay_within_one_retry_budget() {
     let mut hosts = World::start_fleet(HOSTS);
     let mut pool = Pool::start(&hosts[0].log);
-    Pool::wait_for(&hosts);
-    pool.press(&hosts, REQUESTS);
+    Pool::wait_until_ready(&hosts);
+    pool.send_requests(&hosts, REQUESTS_PER_HOST);
 
-    for _ in 1..LIVES {
+    for _ in 1..PROCESSES_PER_HOST {
         hosts.clear();
         hosts = World::start_fleet_at(&pool.log, HOSTS);
-        Pool::wait_for(&hosts);
-        pool.press(&hosts, REQUESTS);
+        Pool::wait_until_ready(&hosts);
+        pool.send_requests(&hosts, REQUESTS_PER_HOST);
     }
 
-    let (most, allowed) = (pool.most_retries(), pool.allowed());
-    assert!(most <= allowed, "{most} retries, {allowed} allowed");
+    let (retries, allowed) = (pool.max_retries_in_window(), pool.allowed());
+    assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
-// What hosts that are gone have spent still counts, so the one that is left must not take their parts at once.
+// Retries of hosts that are gone still count in the window, so the remaining host must not use their shares
+// immediately.
 #[test]
-fn a_host_whose_peers_are_gone_does_not_take_their_retry_budget() {
+fn a_host_does_not_take_over_the_retry_budget_of_ended_peers() {
     let mut hosts = World::start_fleet(HOSTS);
     let mut pool = Pool::start(&hosts[0].log);
-    Pool::wait_for(&hosts);
-    pool.press(&hosts, REQUESTS);
+    Pool::wait_until_ready(&hosts);
+    pool.send_requests(&hosts, REQUESTS_PER_HOST);
 
     let mut others = hosts.split_off(1);
     others.iter_mut().for_each(World::drain);
     others.iter_mut().for_each(World::wait_ended);
-    let gone = Instant::now();
-    assert!(wait_until(|| gone.elapsed() > SILENT));
-    pool.press(&hosts, REQUESTS_FOR_ALL);
+    let ended_at = Instant::now();
+    assert!(wait_until(|| ended_at.elapsed() > PEER_TIMEOUT));
+    pool.send_requests(&hosts, REQUESTS_PER_WHOLE_BUDGET);
 
-    let (most, allowed) = (pool.most_retries(), pool.allowed());
-    assert!(most <= allowed, "{most} retries, {allowed} allowed");
+    let (retries, allowed) = (pool.max_retries_in_window(), pool.allowed());
+    assert!(retries <= allowed, "{retries} retries, {allowed} allowed");
 }
 
-// A run that goes on from a copy of its memory is the same run, not a repeat: waves of leaving engines must not use up the
-// budget of requests that were turned away.
+// A generation that continues from a copy of its memory is not a retry: when many engines leave, migrations must
+// not use up the retry budget of requests that were refused.
 #[test]
-fn runs_that_were_moved_leave_the_retry_budget_to_others() {
+fn moved_generations_do_not_use_the_retry_budget() {
     let held = Behaviour::Events {
         to: 8,
         break_after: None,
@@ -167,7 +168,7 @@
         assert!(caller.read_until("id: 7\n"), "run {id}");
         caller
     };
-    let callers: Vec<Caller> = (0..RUNS).map(run).collect();
+    let callers: Vec<Caller> = (0..GENERATIONS).map(run).collect();
     let others: Vec<FakeUpstream> = (0..ENGINES)
         .map(|index| FakeUpstream::of("reports", &format!("other-{index}"), &[crate::events(8)]))
         .collect();
@@ -181,11 +182,11 @@
 
     let full = FakeUpstream::of("reports", "full", &[Behaviour::NotRun]);
     world.list(&full, "ready");
-    let was_turned_away = wait_until(|| {
-        let answer = ask(world.callers(), &request(RUNS));
+    let is_refused = wait_until(|| {
+        let answer = ask(world.callers(), &request(GENERATIONS));
         assert_eq!(answer.status, 200);
         !full.seen().is_empty()
     });
 
-    assert!(was_turned_away);
+    assert!(is_refused);
 }
