--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -19,7 +19,7 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::rollouts::AnnouncedRollout;
-use crate::gateway::rollouts::evidence::ToldEvidence;
+use crate::gateway::rollouts::evidence::AnnouncedEvidence;
 use crate::gateway::suspects::ToldSuspect;
 use crate::gateway::turns::ToMove;
 use crate::id::DataCentre;
@@ -74,9 +74,9 @@
     /// Nothing.
     Nothing,
     /// What its host saw.
-    OfHost(Vec<ToldEvidence>),
+    OfHost(Vec<AnnouncedEvidence>),
     /// What the hosts of its data centre saw.
-    OfDataCentre(Vec<ToldEvidence>),
+    OfDataCentre(Vec<AnnouncedEvidence>),
 }
 
 impl ToldLoads {
@@ -225,7 +225,7 @@
     pub(crate) fn of_data_centre(
         &self,
         loads: Vec<(InstanceKey, Load)>,
-        evidence: Vec<ToldEvidence>,
+        evidence: Vec<AnnouncedEvidence>,
     ) -> Datagram {
         Datagram {
             evidence: ToldTrials::OfDataCentre(evidence),
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -232,7 +232,7 @@
         log_era: shared.log_era(),
         evacuations: shared.told_evacuations(),
         rollouts: shared.told_rollouts(),
-        evidence: ToldTrials::OfHost(shared.evidences(|evidences| evidences.own(now))),
+        evidence: ToldTrials::OfHost(shared.evidences(|evidences| evidences.announce_host(now))),
         reading: shared.reading(),
         unreadable: shared.unreadable(),
         peer_port: settings.peer_address.port(),
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -151,7 +151,7 @@
         let partners = shared.peers(|peers| peers.far_partners(now));
         for (data_centre, partners) in partners {
             let loads = shared.home_loads(&data_centre);
-            let evidence = shared.evidences(|evidences| evidences.data_centre(now));
+            let evidence = shared.evidences(|evidences| evidences.announce_data_centre(now));
             let datagram = datagram.of_data_centre(loads, evidence);
             send(socket, &encode(datagram), &partners).await;
         }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -158,7 +158,7 @@
         ToldTrials::OfDataCentre(told) => (Teller::DataCentre(data_centre.clone()), told),
     };
     if !told.is_empty() {
-        shared.evidences(|evidences| evidences.hear(now, teller, told));
+        shared.evidences(|evidences| evidences.receive(now, teller, told));
     }
 }
 
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -349,7 +349,7 @@
                     .mul_f64(SHIFT_END_FRACTION)
                     .saturating_sub(shift_duration);
                 let trial_end = self.duration.mul_f64(TRIAL_END_FRACTION);
-                let has_enough_answers = answers >= ANSWERS_MIN && evidence.has_tried_all_routes();
+                let has_enough_answers = answers >= ANSWERS_MIN && evidence.has_covered_routes();
                 let is_in_doubt = evidence.is_in_doubt();
                 let is_due = age >= shift_at && has_enough_answers && new_upstreams > 0
                     || age >= trial_end && answers >= LATE_ANSWERS_MIN;
--- a/src/gateway/rollouts/evidence.rs
+++ b/src/gateway/rollouts/evidence.rs
@@ -26,33 +26,33 @@
 /// They are counted in parts of it.
 const BUCKET: Duration = Duration::from_secs(1);
 /// What another host tells of its window counts for so long.
-const TOLD_LASTS: Duration = Duration::from_millis(4_000);
+const PEER_EVIDENCE_TTL: Duration = Duration::from_millis(4_000);
 /// An answer that takes so many times as long as the others' mean is bad.
 const SLOW_FACTOR: f64 = 2.5;
 /// The mean is known from so many answers of all hosts on.
-const MEAN_FROM: u32 = 6;
+const BASELINE_ANSWERS_MIN: u32 = 6;
 /// A version is bad if its bad answers would come by chance in fewer cases than this.
-const CHANCE_MAX: f64 = 1e-5;
+const BAD_P_VALUE: f64 = 1e-5;
 /// and in doubt below this one.
-const CHANCE_IN_DOUBT: f64 = 0.002;
+const DOUBT_P_VALUE: f64 = 0.002;
 /// A route with this part of the others' answers has to be tried,
-const ROUTE_PART_MIN: f64 = 0.08;
+const ROUTE_SHARE_MIN: f64 = 0.08;
 /// by so many answers of the version.
 const ROUTE_ANSWERS_MIN: u32 = 8;
 /// Rate of bad answers that no version is reverted for.
-const RATE_MIN: f64 = 0.05;
+const BAD_RATE_FLOOR: f64 = 0.05;
 /// A version that fails more often than this is bad whatever is known of the others.
-const RATE_MAX: f64 = 0.5;
+const BAD_RATE_CEILING: f64 = 0.5;
 /// The others' rate is taken for so many standard deviations higher than it was seen.
-const RATE_DEVIATIONS: f64 = 2.0;
+const BAD_RATE_DEVIATIONS: f64 = 2.0;
 /// Bad answers come from so many upstreams, if there are as many.
 const BAD_UPSTREAMS_MIN: usize = 3;
 /// Upstreams with bad answers that a host tells of.
-const BAD_UPSTREAMS_TOLD: usize = 4;
+const BAD_UPSTREAMS_ANNOUNCED: usize = 4;
 
 /// Whether an upstream is of the version that is tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Side {
+pub enum Cohort {
     /// It isn't.
     Old,
     /// It is.
@@ -87,14 +87,14 @@
     /// The upstream.
     pub upstream: InstanceKey,
     /// Its version.
-    pub side: Side,
+    pub cohort: Cohort,
     /// What was timed.
     pub measure: Measure,
     /// What came of it.
     pub outcome: Outcome,
 }
 
-/// Answers of one side on one route.
+/// Answers of one cohort on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     answers: u32,
@@ -117,20 +117,20 @@
 
 /// How long answers of the other upstreams took together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Times {
+struct LatencySum {
     answers: u32,
     sum_us: u64,
 }
 
-impl Times {
-    fn add(&mut self, other: Times) {
+impl LatencySum {
+    fn add(&mut self, other: LatencySum) {
         self.answers += other.answers;
         self.sum_us += other.sum_us;
     }
 
     fn is_slow(&self, time: Duration) -> bool {
         let mean_us = self.sum_us as f64 / f64::from(self.answers.max(1));
-        self.answers >= MEAN_FROM && time.as_micros() as f64 > mean_us * SLOW_FACTOR
+        self.answers >= BASELINE_ANSWERS_MIN && time.as_micros() as f64 > mean_us * SLOW_FACTOR
     }
 }
 
@@ -140,7 +140,7 @@
     requests: u32,
     /// By a hash of the route's name.
     routes: BTreeMap<u32, RouteTally>,
-    times: BTreeMap<(u32, Measure), Times>,
+    times: BTreeMap<(u32, Measure), LatencySum>,
     bad_upstreams: BTreeSet<InstanceKey>,
 }
 
@@ -173,28 +173,28 @@
         if self.bad_upstreams.len() < BAD_UPSTREAMS_MIN.min(new_upstreams).max(1) {
             return None;
         }
-        let least_likely = self.least_likely();
-        least_likely.filter(|judgement| judgement.chance < CHANCE_MAX)
+        let most_significant = self.most_significant();
+        most_significant.filter(|judgement| judgement.p_value < BAD_P_VALUE)
     }
 
     /// Whether the version may be bad, by what was seen so far.
     pub fn is_in_doubt(&self) -> bool {
-        let least_likely = self.least_likely();
-        least_likely.is_some_and(|judgement| judgement.chance < CHANCE_IN_DOUBT)
+        let most_significant = self.most_significant();
+        most_significant.is_some_and(|judgement| judgement.p_value < DOUBT_P_VALUE)
     }
 
     /// Whether all routes that get a good part of the requests were tried.
-    pub fn has_tried_all_routes(&self) -> bool {
-        let all = self.all_routes();
-        let part_min = f64::from(all.old.answers) * ROUTE_PART_MIN;
+    pub fn has_covered_routes(&self) -> bool {
+        let all = self.total();
+        let share_min = f64::from(all.old.answers) * ROUTE_SHARE_MIN;
         let mut busy = self
             .routes
             .values()
-            .filter(|it| f64::from(it.old.answers) >= part_min);
+            .filter(|it| f64::from(it.old.answers) >= share_min);
         busy.all(|tally| tally.new.answers >= ROUTE_ANSWERS_MIN)
     }
 
-    fn all_routes(&self) -> RouteTally {
+    fn total(&self) -> RouteTally {
         let mut all = RouteTally::default();
         for tally in self.routes.values() {
             all.old.add(tally.old);
@@ -204,36 +204,37 @@
     }
 
     /// What would come by chance most rarely, on one route or on all.
-    fn least_likely(&self) -> Option<Judgement> {
-        let all = self.all_routes();
+    fn most_significant(&self) -> Option<Judgement> {
+        let all = self.total();
         let tallies = self.routes.values().chain([&all]);
         tallies
             .map(judge_tally)
-            .min_by(|one, other| one.chance.total_cmp(&other.chance))
+            .min_by(|one, other| one.p_value.total_cmp(&other.p_value))
     }
 }
 
 fn judge_tally(tally: &RouteTally) -> Judgement {
     let RouteTally { old, new } = *tally;
     let old_bad = f64::from(old.bad) + 1.0;
-    let old_bad = old_bad + RATE_DEVIATIONS * old_bad.sqrt();
-    let expected = (old_bad / (f64::from(old.answers) + 1.0)).clamp(RATE_MIN, RATE_MAX);
-    let chance = chance_of_at_least(new.bad, new.answers, expected);
-    Judgement { old, new, chance }
+    let old_bad = old_bad + BAD_RATE_DEVIATIONS * old_bad.sqrt();
+    let expected =
+        (old_bad / (f64::from(old.answers) + 1.0)).clamp(BAD_RATE_FLOOR, BAD_RATE_CEILING);
+    let p_value = binomial_tail(new.bad, new.answers, expected);
+    Judgement { old, new, p_value }
 }
 
-/// The chance of at least `hits` in `tries`, each with the chance `p`.
-fn chance_of_at_least(hits: u32, tries: u32, p: f64) -> f64 {
-    if hits == 0 || p >= 1.0 {
+/// The chance of at least `successes` in `trials`, each with the chance `p`.
+fn binomial_tail(successes: u32, trials: u32, p: f64) -> f64 {
+    if successes == 0 || p >= 1.0 {
         return 1.0;
     }
-    let tries_f = f64::from(tries);
-    let mut ln_term = tries_f * (1.0 - p).ln();
+    let trials_f = f64::from(trials);
+    let mut ln_term = trials_f * (1.0 - p).ln();
     let mut below = 0.0;
-    for hit in 0..hits.min(tries) {
+    for success in 0..successes.min(trials) {
         below += ln_term.exp();
-        let hit = f64::from(hit);
-        ln_term += ((tries_f - hit) / (hit + 1.0)).ln() + (p / (1.0 - p)).ln();
+        let success = f64::from(success);
+        ln_term += ((trials_f - success) / (success + 1.0)).ln() + (p / (1.0 - p)).ln();
     }
     (1.0_f64 - below).max(0.0)
 }
@@ -243,7 +244,7 @@
 pub struct Judgement {
     old: Tally,
     new: Tally,
-    chance: f64,
+    p_value: f64,
 }
 
 impl fmt::Display for Judgement {
@@ -258,7 +259,7 @@
 
 /// What a host tells of one order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEvidence {
+pub struct AnnouncedEvidence {
     /// The position of the order's record.
     pub ordered_at: Position,
     /// What it saw.
@@ -267,13 +268,13 @@
 
 /// What this host saw of one order.
 #[derive(Debug, Default)]
-struct Seen {
+struct OrderEvidence {
     buckets: VecDeque<(Time, Evidence)>,
     /// Of all hosts, as of when they were last looked at together.
-    times: BTreeMap<(u32, Measure), Times>,
+    baseline: BTreeMap<(u32, Measure), LatencySum>,
 }
 
-impl Seen {
+impl OrderEvidence {
     fn bucket(&mut self, now: Time) -> &mut Evidence {
         let is_current = |bucket: &(Time, Evidence)| now.since(bucket.0) < BUCKET;
         if !self.buckets.back().is_some_and(is_current) {
@@ -302,88 +303,88 @@
 
 /// What this host saw of each order, and what others tell.
 #[derive(Debug, Default)]
-pub struct EvidenceBoard {
-    own: BTreeMap<Position, Seen>,
-    told: HashMap<Teller, (Time, Vec<ToldEvidence>)>,
+pub struct EvidenceStore {
+    local: BTreeMap<Position, OrderEvidence>,
+    received: HashMap<Teller, (Time, Vec<AnnouncedEvidence>)>,
 }
 
-impl EvidenceBoard {
+impl EvidenceStore {
     /// A request for the order's service arrived.
-    pub fn requested(&mut self, now: Time, order: Position) {
-        self.own.entry(order).or_default().bucket(now).requests += 1;
+    pub fn record_request(&mut self, now: Time, order: Position) {
+        self.local.entry(order).or_default().bucket(now).requests += 1;
     }
 
     /// A request for the order's service was answered.
-    pub fn answered(&mut self, now: Time, order: Position, answer: &Answer<'_>) {
-        let seen = self.own.entry(order).or_default();
+    pub fn record_answer(&mut self, now: Time, order: Position, answer: &Answer<'_>) {
+        let seen = self.local.entry(order).or_default();
         let route = xxh3_64(answer.route.as_bytes()) as u32;
         let is_bad = match answer.outcome {
             Outcome::Failed => true,
             Outcome::Took(time) => {
-                let times = seen.times.get(&(route, answer.measure));
+                let times = seen.baseline.get(&(route, answer.measure));
                 times.is_some_and(|times| times.is_slow(time))
             }
         };
         let bucket = seen.bucket(now);
-        if let (Outcome::Took(time), Side::Old) = (answer.outcome, answer.side) {
+        if let (Outcome::Took(time), Cohort::Old) = (answer.outcome, answer.cohort) {
             let times = bucket.times.entry((route, answer.measure)).or_default();
-            times.add(Times {
+            times.add(LatencySum {
                 answers: 1,
                 sum_us: u64::try_from(time.as_micros()).unwrap_or(u64::MAX),
             });
         }
         let tally = bucket.routes.entry(route).or_default();
-        let tally = match answer.side {
-            Side::Old => &mut tally.old,
-            Side::New => &mut tally.new,
+        let tally = match answer.cohort {
+            Cohort::Old => &mut tally.old,
+            Cohort::New => &mut tally.new,
         };
         tally.add(Tally {
             answers: 1,
             bad: u32::from(is_bad),
         });
-        if is_bad && answer.side == Side::New {
+        if is_bad && answer.cohort == Cohort::New {
             bucket.bad_upstreams.insert(answer.upstream);
         }
     }
 
     /// What this host saw, for others.
-    pub fn own(&self, now: Time) -> Vec<ToldEvidence> {
-        let own = self.own.iter().map(|(order, seen)| ToldEvidence {
+    pub fn announce_host(&self, now: Time) -> Vec<AnnouncedEvidence> {
+        let own = self.local.iter().map(|(order, seen)| AnnouncedEvidence {
             ordered_at: *order,
-            evidence: shortened(seen.sum(now)),
+            evidence: truncate_upstreams(seen.sum(now)),
         });
         own.collect()
     }
 
     /// What the hosts of this data centre saw, for others.
-    pub fn data_centre(&self, now: Time) -> Vec<ToldEvidence> {
-        let is_near = |teller: &Teller| matches!(teller, Teller::Host(_));
-        let own = self.own.keys().map(|order| ToldEvidence {
+    pub fn announce_data_centre(&self, now: Time) -> Vec<AnnouncedEvidence> {
+        let is_host = |teller: &Teller| matches!(teller, Teller::Host(_));
+        let own = self.local.keys().map(|order| AnnouncedEvidence {
             ordered_at: *order,
-            evidence: shortened(self.sum(now, *order, is_near)),
+            evidence: truncate_upstreams(self.sum(now, *order, is_host)),
         });
         own.collect()
     }
 
     /// Another host tells what it, or its data centre, saw.
-    pub fn hear(&mut self, now: Time, teller: Teller, told: Vec<ToldEvidence>) {
-        self.told.insert(teller, (now, told));
+    pub fn receive(&mut self, now: Time, teller: Teller, told: Vec<AnnouncedEvidence>) {
+        self.received.insert(teller, (now, told));
     }
 
     /// What all hosts saw that are heard. From now on answers are slow beside the others of all these hosts.
-    pub fn all(&mut self, now: Time, order: Position) -> Evidence {
+    pub fn combine(&mut self, now: Time, order: Position) -> Evidence {
         let all = self.sum(now, order, |_| true);
-        if let Some(seen) = self.own.get_mut(&order) {
-            seen.times.clone_from(&all.times);
+        if let Some(seen) = self.local.get_mut(&order) {
+            seen.baseline.clone_from(&all.times);
         }
         all
     }
 
     fn sum(&self, now: Time, order: Position, is_counted: impl Fn(&Teller) -> bool) -> Evidence {
-        let own = self.own.get(&order);
+        let own = self.local.get(&order);
         let mut sum = own.map(|seen| seen.sum(now)).unwrap_or_default();
-        for (teller, (at, told)) in &self.told {
-            if now.since(*at) >= TOLD_LASTS || !is_counted(teller) {
+        for (teller, (at, told)) in &self.received {
+            if now.since(*at) >= PEER_EVIDENCE_TTL || !is_counted(teller) {
                 continue;
             }
             for told in told.iter().filter(|told| told.ordered_at == order) {
@@ -395,14 +396,15 @@
 
     /// Forgets all orders but those that `is_open` names.
     pub fn retain(&mut self, now: Time, is_open: impl Fn(Position) -> bool) {
-        self.own.retain(|order, _| is_open(*order));
-        self.told.retain(|_, (at, _)| now.since(*at) < TOLD_LASTS);
+        self.local.retain(|order, _| is_open(*order));
+        self.received
+            .retain(|_, (at, _)| now.since(*at) < PEER_EVIDENCE_TTL);
     }
 }
 
 /// Datagrams have room for a few names.
-fn shortened(mut evidence: Evidence) -> Evidence {
-    while evidence.bad_upstreams.len() > BAD_UPSTREAMS_TOLD {
+fn truncate_upstreams(mut evidence: Evidence) -> Evidence {
+    while evidence.bad_upstreams.len() > BAD_UPSTREAMS_ANNOUNCED {
         evidence.bad_upstreams.pop_last();
     }
     evidence
--- a/src/gateway/rollouts/evidence/tests.rs
+++ b/src/gateway/rollouts/evidence/tests.rs
@@ -1,10 +1,10 @@
 use std::time::Duration;
 
 use super::Answer;
-use super::EvidenceBoard;
+use super::Cohort;
+use super::EvidenceStore;
 use super::Measure;
 use super::Outcome;
-use super::Side;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::instance::InstanceKey;
@@ -24,16 +24,16 @@
 }
 
 /// Has `outcomes` come from so many upstreams in turn.
-fn note(evidences: &mut EvidenceBoard, side: Side, upstreams: usize, outcomes: &[Outcome]) {
+fn note(evidences: &mut EvidenceStore, cohort: Cohort, upstreams: usize, outcomes: &[Outcome]) {
     for (index, outcome) in outcomes.iter().enumerate() {
         let answer = Answer {
             route: "lookups",
             upstream: upstream(index % upstreams),
-            side,
+            cohort,
             measure: Measure::Whole,
             outcome: *outcome,
         };
-        evidences.answered(NOW, order(), &answer);
+        evidences.record_answer(NOW, order(), &answer);
     }
 }
 
@@ -55,11 +55,14 @@
 
 /// Whether a version is judged bad whose answers are `new`, beside `old` ones.
 fn is_bad(old: &[Outcome], new: &[Outcome], new_upstreams: usize) -> bool {
-    let mut evidences = EvidenceBoard::default();
-    note(&mut evidences, Side::Old, 20, old);
-    evidences.all(NOW, order());
-    note(&mut evidences, Side::New, new_upstreams, new);
-    evidences.all(NOW, order()).judge(new_upstreams).is_some()
+    let mut evidences = EvidenceStore::default();
+    note(&mut evidences, Cohort::Old, 20, old);
+    evidences.combine(NOW, order());
+    note(&mut evidences, Cohort::New, new_upstreams, new);
+    evidences
+        .combine(NOW, order())
+        .judge(new_upstreams)
+        .is_some()
 }
 
 #[test]
@@ -85,11 +88,11 @@
 // One upstream that is ill would else have its version reverted.
 #[test]
 fn bad_answers_of_one_upstream_of_many_say_nothing_of_its_version() {
-    let mut evidences = EvidenceBoard::default();
-    note(&mut evidences, Side::Old, 20, &failing(0, 200));
-    note(&mut evidences, Side::New, 1, &failing(20, 20));
+    let mut evidences = EvidenceStore::default();
+    note(&mut evidences, Cohort::Old, 20, &failing(0, 200));
+    note(&mut evidences, Cohort::New, 1, &failing(20, 20));
 
-    let evidence = evidences.all(NOW, order());
+    let evidence = evidences.combine(NOW, order());
 
     assert!(evidence.judge(12).is_none());
     assert!(evidence.judge(1).is_some());
@@ -97,16 +100,16 @@
 
 #[test]
 fn what_hosts_saw_counts_together_and_lapses() {
-    let mut own = EvidenceBoard::default();
+    let mut local = EvidenceStore::default();
     for index in 0..6 {
-        let mut other = EvidenceBoard::default();
-        note(&mut other, Side::New, 3, &failing(3, 3));
+        let mut other = EvidenceStore::default();
+        note(&mut other, Cohort::New, 3, &failing(3, 3));
         let host = Teller::Host(HostId::new(format!("host-{index}")));
-        own.hear(NOW, host, other.own(NOW));
+        local.receive(NOW, host, other.announce_host(NOW));
     }
 
-    let heard = own.all(Time::from_ms(8_900), order());
-    let lapsed = own.all(Time::from_ms(9_100), order());
+    let heard = local.combine(Time::from_ms(8_900), order());
+    let lapsed = local.combine(Time::from_ms(9_100), order());
 
     assert_eq!(heard.new_answers(), 18);
     assert!(heard.judge(3).is_some());
@@ -115,15 +118,19 @@
 
 #[test]
 fn old_answers_count_no_more() {
-    let mut evidences = EvidenceBoard::default();
-    note(&mut evidences, Side::New, 3, &failing(9, 9));
+    let mut evidences = EvidenceStore::default();
+    note(&mut evidences, Cohort::New, 3, &failing(9, 9));
 
     assert_eq!(
-        evidences.all(Time::from_ms(14_900), order()).new_answers(),
+        evidences
+            .combine(Time::from_ms(14_900), order())
+            .new_answers(),
         9
     );
     assert_eq!(
-        evidences.all(Time::from_ms(15_100), order()).new_answers(),
+        evidences
+            .combine(Time::from_ms(15_100), order())
+            .new_answers(),
         0
     );
 }
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -20,10 +20,10 @@
 use crate::gateway::rollouts::Rollouts;
 use crate::gateway::rollouts::Stage;
 use crate::gateway::rollouts::evidence::Answer;
-use crate::gateway::rollouts::evidence::EvidenceBoard;
+use crate::gateway::rollouts::evidence::Cohort;
+use crate::gateway::rollouts::evidence::EvidenceStore;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
-use crate::gateway::rollouts::evidence::Side;
 use crate::id::HostId;
 use crate::id::UpstreamId;
 use crate::id::VersionId;
@@ -52,7 +52,7 @@
 #[derive(Default)]
 struct Host {
     rollouts: Rollouts,
-    evidences: EvidenceBoard,
+    evidences: EvidenceStore,
     started_ms: u64,
     cut_until_ms: u64,
 }
@@ -168,7 +168,7 @@
         }
         let now = host.clock(now_ms);
         self.requests += 1;
-        host.evidences.requested(now, at(0));
+        host.evidences.record_request(now, at(0));
         let track = host
             .rollouts
             .assign_track(now, &service(), share(count), draw);
@@ -176,8 +176,12 @@
         let goes_to_new = rollout.allows(&VersionId::new("v2"), track);
         let is_cut = host.is_cut(now_ms);
         let route = self.rng.random_range(0..ROUTES.len());
-        let side = if goes_to_new { Side::New } else { Side::Old };
-        let outcome = self.outcome(side, route);
+        let cohort = if goes_to_new {
+            Cohort::New
+        } else {
+            Cohort::Old
+        };
+        let outcome = self.outcome(cohort, route);
         if goes_to_new {
             self.expose(outcome, is_cut);
         }
@@ -185,11 +189,13 @@
         let answer = Answer {
             route: ROUTES[route],
             upstream: InstanceId::from(UpstreamId::new(upstream)).key(),
-            side,
+            cohort,
             measure: Measure::Whole,
             outcome,
         };
-        self.hosts[index].evidences.answered(now, at(0), &answer);
+        self.hosts[index]
+            .evidences
+            .record_answer(now, at(0), &answer);
     }
 
     fn expose(&mut self, outcome: Outcome, is_cut: bool) {
@@ -207,10 +213,10 @@
     }
 
     /// Answers take 60 ms, a few much longer; one of a hundred fails, on one route one of eight.
-    fn outcome(&mut self, side: Side, route: usize) -> Outcome {
+    fn outcome(&mut self, cohort: Cohort, route: usize) -> Outcome {
         let since_ms = (self.now_ms - ORDERED_AT_MS) as f64;
         let part = since_ms / self.duration.as_millis() as f64;
-        let is_ill = side == Side::New
+        let is_ill = cohort == Cohort::New
             && match self.nature {
                 Nature::Good => false,
                 Nature::Fails | Nature::Slow => true,
@@ -246,7 +252,11 @@
         let told: Vec<_> = speaking
             .map(|(index, host)| {
                 let now = host.clock(now_ms);
-                (index, host.rollouts.announce(now), host.evidences.own(now))
+                (
+                    index,
+                    host.rollouts.announce(now),
+                    host.evidences.announce_host(now),
+                )
             })
             .collect();
         for (to, host) in self.hosts.iter_mut().enumerate() {
@@ -260,7 +270,7 @@
                 }
                 host.rollouts.receive(now, rollouts);
                 let teller = Teller::Host(HostId::new(format!("host-{from}")));
-                host.evidences.hear(now, teller, evidences.clone());
+                host.evidences.receive(now, teller, evidences.clone());
             }
         }
     }
@@ -278,7 +288,7 @@
             let Some(rollout) = host.rollouts.get(&service()) else {
                 continue;
             };
-            let evidence = host.evidences.all(now, at(0));
+            let evidence = host.evidences.combine(now, at(0));
             let judgement = evidence.judge(NEW_UPSTREAMS);
             let bound = ExposureBound::default();
             let due = rollout.due_step(now, bound, &evidence, judgement.as_ref(), NEW_UPSTREAMS);
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -43,7 +43,7 @@
 use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
-use crate::gateway::rollouts::evidence::EvidenceBoard;
+use crate::gateway::rollouts::evidence::EvidenceStore;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::suspects::Suspects;
 use crate::gateway::turns::TurnBoard;
@@ -95,7 +95,7 @@
     reported_loads: Mutex<ReportedLoads>,
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
-    evidences: Mutex<EvidenceBoard>,
+    evidences: Mutex<EvidenceStore>,
     wakefulness: Mutex<Wakefulness>,
     wakes: watch::Sender<u64>,
     log_era: Mutex<Era>,
--- a/src/gateway/shared/rolling.rs
+++ b/src/gateway/shared/rolling.rs
@@ -17,10 +17,10 @@
 use crate::gateway::rollouts::Track;
 use crate::gateway::rollouts::TrialBudget;
 use crate::gateway::rollouts::evidence::Answer;
-use crate::gateway::rollouts::evidence::EvidenceBoard;
+use crate::gateway::rollouts::evidence::Cohort;
+use crate::gateway::rollouts::evidence::EvidenceStore;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
-use crate::gateway::rollouts::evidence::Side;
 use crate::gateway::serve::Admitted;
 use crate::id::ServiceId;
 use crate::id::VersionId;
@@ -47,7 +47,7 @@
 
 impl Shared {
     /// Runs `use_evidences` on what was seen of versions that are tried.
-    pub(crate) fn evidences<T>(&self, use_evidences: impl FnOnce(&mut EvidenceBoard) -> T) -> T {
+    pub(crate) fn evidences<T>(&self, use_evidences: impl FnOnce(&mut EvidenceStore) -> T) -> T {
         use_evidences(&mut locked(&self.0.evidences))
     }
 
@@ -131,7 +131,7 @@
             return Track::Stable;
         };
         let now = self.now();
-        self.evidences(|evidences| evidences.requested(now, order));
+        self.evidences(|evidences| evidences.record_request(now, order));
         let share = TrialBudget {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
@@ -154,27 +154,27 @@
     ) {
         let order_of = |directory: &mut Directory| {
             let rollout = directory.rollouts().get(&upstream.service)?;
-            let side = match upstream.version == *rollout.to() {
-                true => Side::New,
-                false => Side::Old,
+            let cohort = match upstream.version == *rollout.to() {
+                true => Cohort::New,
+                false => Cohort::Old,
             };
             rollout
                 .stage()
                 .is_open()
-                .then(|| (rollout.ordered_at(), side))
+                .then(|| (rollout.ordered_at(), cohort))
         };
-        let Some((order, side)) = self.directory(order_of) else {
+        let Some((order, cohort)) = self.directory(order_of) else {
             return;
         };
         let answer = Answer {
             route: &admitted.route.name,
             upstream: upstream.id.key(),
-            side,
+            cohort,
             measure,
             outcome,
         };
         let now = self.now();
-        self.evidences(|evidences| evidences.answered(now, order, &answer));
+        self.evidences(|evidences| evidences.record_answer(now, order, &answer));
     }
 
     /// The orders whose end operators wait for, and what is due of each.
@@ -184,7 +184,7 @@
         self.directory(|directory| {
             let open = directory.rollouts().open().map(|rollout| {
                 let order = rollout.ordered_at();
-                let evidence = self.evidences(|evidences| evidences.all(now, order));
+                let evidence = self.evidences(|evidences| evidences.combine(now, order));
                 let new = directory.count_of_version(rollout.service(), rollout.to());
                 let judgement = evidence.judge(new);
                 OpenRollout {
