--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -27,9 +27,9 @@
 use crate::gateway::ticks::tick;
 
 /// How often it is looked whether a step is due.
-const CHECK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Hosts that read what operators publish have told them by then that an order is running.
-const BEGUN_WITHIN: Duration = Duration::from_secs(3);
+const RUNNING_REPORT_DELAY: Duration = Duration::from_secs(3);
 /// A call that failed is made again after this time.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
@@ -44,14 +44,14 @@
 
 /// Takes steps for ever.
 pub async fn run(shared: Shared) {
-    let mut status = Status {
+    let mut reporter = StatusReporter {
         client: OwnClient::new(shared.settings().log_address),
         shared: shared.clone(),
-        begun: BTreeMap::new(),
+        reported: BTreeMap::new(),
         due_since: BTreeMap::new(),
     };
     loop {
-        tick(CHECK).await;
+        tick(CHECK_INTERVAL).await;
         if shared.directory(|directory| directory.rollouts().open().next().is_none()) {
             continue;
         }
@@ -59,7 +59,7 @@
             continue;
         }
         for rollout in shared.open_rollouts() {
-            if let Err(reason) = status.look_at(&rollout).await {
+            if let Err(reason) = reporter.take_due_step(&rollout).await {
                 log::debug!("roll-out of {}: {reason:?}", rollout.service);
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -67,18 +67,18 @@
     }
 }
 
-struct Status {
+struct StatusReporter {
     shared: Shared,
     client: OwnClient,
     /// Orders of which operators were told that they are running, or more.
-    begun: BTreeMap<Position, RolloutState>,
+    reported: BTreeMap<Position, RolloutState>,
     due_since: BTreeMap<(Position, Step), Instant>,
 }
 
-impl Status {
-    async fn look_at(&mut self, rollout: &OpenRollout) -> Result<(), Interrupted> {
+impl StatusReporter {
+    async fn take_due_step(&mut self, rollout: &OpenRollout) -> Result<(), Interrupted> {
         let step = match &rollout.due {
-            _ if !self.begun.contains_key(&rollout.ordered_at) => Step::Begin,
+            _ if !self.reported.contains_key(&rollout.ordered_at) => Step::Begin,
             DueStep::Nothing => return Ok(()),
             DueStep::Shift => Step::Shift,
             DueStep::Complete => Step::Complete,
@@ -90,24 +90,24 @@
             return Ok(());
         }
         match step {
-            Step::Begin => self.tell(rollout, RolloutState::Running).await,
+            Step::Begin => self.report(rollout, RolloutState::Running).await,
             Step::Shift => {
                 let reason = "it answers as the others do";
                 self.shared.rollout_rises(rollout, Stage::Shift, reason);
                 Ok(())
             }
-            Step::Complete => self.tell(rollout, RolloutState::Complete).await,
+            Step::Complete => self.report(rollout, RolloutState::Complete).await,
             Step::Revert => {
                 if let DueStep::GiveUp(reason) = &rollout.due {
                     self.shared.rollout_rises(rollout, Stage::Reverting, reason);
                 }
-                self.tell(rollout, RolloutState::Reverted).await
+                self.report(rollout, RolloutState::Reverted).await
             }
         }
     }
 
     /// Tells operators that an order has come so far, unless they were told more.
-    async fn tell(
+    async fn report(
         &mut self,
         rollout: &OpenRollout,
         state: RolloutState,
@@ -116,16 +116,20 @@
         let key = shared.protocol().rollout_status_key(&rollout.service);
         let newest = newest(&shared, &mut self.client, Topic::Status, CALL_TIMEOUT).await;
         let (records, end) = newest?;
-        let told = records.iter().find(|record| record.key == key);
-        let told = told.and_then(|record| record.value.as_deref());
-        let told = told.and_then(|value| shared.protocol().decode_rollout_status(value).ok());
-        let has_begun = self.begun.contains_key(&rollout.ordered_at);
-        match told.map_or(Told::Nothing, |told| told_of(rollout, &told, has_begun)) {
-            Told::Nothing => {}
-            Told::LaterOrder => return Ok(()),
-            Told::State(told) => {
-                self.begun.insert(rollout.ordered_at, told);
-                self.rise(rollout, told, "operators were told");
+        let previous = records.iter().find(|record| record.key == key);
+        let previous = previous.and_then(|record| record.value.as_deref());
+        let previous =
+            previous.and_then(|value| shared.protocol().decode_rollout_status(value).ok());
+        let was_reported = self.reported.contains_key(&rollout.ordered_at);
+        let reported = previous.map_or(Reported::Nothing, |previous| {
+            reported_state(rollout, &previous, was_reported)
+        });
+        match reported {
+            Reported::Nothing => {}
+            Reported::LaterOrder => return Ok(()),
+            Reported::State(reported) => {
+                self.reported.insert(rollout.ordered_at, reported);
+                self.advance(rollout, reported, "operators were told");
                 return Ok(());
             }
         }
@@ -152,13 +156,13 @@
             .with("end", end.to_string())
             .write();
         if is_written {
-            self.begun.insert(rollout.ordered_at, state);
-            self.rise(rollout, state, "told operators");
+            self.reported.insert(rollout.ordered_at, state);
+            self.advance(rollout, state, "told operators");
         }
         Ok(())
     }
 
-    fn rise(&self, rollout: &OpenRollout, state: RolloutState, reason: &str) {
+    fn advance(&self, rollout: &OpenRollout, state: RolloutState, reason: &str) {
         let stage = match state {
             RolloutState::Running => return,
             RolloutState::Complete => Stage::Complete,
@@ -170,7 +174,7 @@
 
 /// What operators were told last, as seen from one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum Reported {
     /// Nothing of it that this host doesn't know.
     Nothing,
     /// That it has come so far.
@@ -179,24 +183,25 @@
     LaterOrder,
 }
 
-/// What `told` says of an order. `has_begun` tells whether this host knows that operators were told of it.
-fn told_of(rollout: &OpenRollout, told: &RolloutStatus, has_begun: bool) -> Told {
-    let is_news = told.state != RolloutState::Running || !has_begun;
+/// What `status` says of an order. `was_reported` tells whether this host knows that operators were told of it.
+fn reported_state(rollout: &OpenRollout, status: &RolloutStatus, was_reported: bool) -> Reported {
+    let is_new = status.state != RolloutState::Running || !was_reported;
     let era = rollout.ordered_at.era;
-    let named = told.ordered_at.filter(|order| order.era == era);
-    let is_of_order = match named.map(|order| order.cmp(&rollout.ordered_at)) {
-        Some(Ordering::Greater) => return Told::LaterOrder,
+    let same_era = status.ordered_at.filter(|order| order.era == era);
+    let is_same_order = match same_era.map(|order| order.cmp(&rollout.ordered_at)) {
+        Some(Ordering::Greater) => return Reported::LaterOrder,
         Some(Ordering::Equal) => true,
         Some(Ordering::Less) => false,
         // A host that saw the order come knows that it has not ended until somebody says so of it.
         None => {
-            let may_have_ended = !rollout.is_dated || has_begun || rollout.age > BEGUN_WITHIN;
-            told.to == rollout.to && (told.state == RolloutState::Running || may_have_ended)
+            let may_have_ended =
+                !rollout.is_dated || was_reported || rollout.age > RUNNING_REPORT_DELAY;
+            status.to == rollout.to && (status.state == RolloutState::Running || may_have_ended)
         }
     };
-    match is_of_order && is_news {
-        true => Told::State(told.state),
-        false => Told::Nothing,
+    match is_same_order && is_new {
+        true => Reported::State(status.state),
+        false => Reported::Nothing,
     }
 }
 
--- a/src/gateway/rolloutstatus/tests.rs
+++ b/src/gateway/rolloutstatus/tests.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
 use super::OpenRollout;
-use super::Told;
-use super::told_of;
+use super::Reported;
+use super::reported_state;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::RolloutState;
@@ -37,50 +37,65 @@
 
 // A host that came to it late took the end of an order for that of an earlier one, and told operators again that it runs.
 #[test]
-fn an_end_that_another_host_told_soon_is_of_this_order() {
+fn final_state_reported_by_another_host_belongs_to_this_order() {
     for state in [RolloutState::Reverted, RolloutState::Complete] {
-        let told = status(state, Some(at(1, 5)));
+        let published = status(state, Some(at(1, 5)));
 
-        assert_eq!(told_of(&order(), &told, false), Told::State(state));
+        assert_eq!(
+            reported_state(&order(), &published, false),
+            Reported::State(state)
+        );
     }
 }
 
 #[test]
-fn an_end_of_an_earlier_order_to_the_same_version_is_not_of_this_one() {
-    let told = status(RolloutState::Reverted, Some(at(1, 4)));
+fn final_state_of_an_earlier_order_is_ignored() {
+    let published = status(RolloutState::Reverted, Some(at(1, 4)));
 
-    assert_eq!(told_of(&order(), &told, false), Told::Nothing);
+    assert_eq!(
+        reported_state(&order(), &published, false),
+        Reported::Nothing
+    );
 }
 
 #[test]
-fn a_replaced_order_leaves_alone_what_was_told_of_the_later_one() {
-    let told = status(RolloutState::Running, Some(at(1, 6)));
+fn replaced_order_does_not_overwrite_the_later_one() {
+    let published = status(RolloutState::Running, Some(at(1, 6)));
 
-    assert_eq!(told_of(&order(), &told, true), Told::LaterOrder);
+    assert_eq!(
+        reported_state(&order(), &published, true),
+        Reported::LaterOrder
+    );
 }
 
 #[test]
-fn a_state_that_this_host_knows_does_not_keep_it_from_telling_the_next() {
-    let told = status(RolloutState::Running, Some(at(1, 5)));
+fn known_state_does_not_block_the_next_report() {
+    let published = status(RolloutState::Running, Some(at(1, 5)));
 
     assert_eq!(
-        told_of(&order(), &told, false),
-        Told::State(RolloutState::Running)
+        reported_state(&order(), &published, false),
+        Reported::State(RolloutState::Running)
+    );
+    assert_eq!(
+        reported_state(&order(), &published, true),
+        Reported::Nothing
     );
-    assert_eq!(told_of(&order(), &told, true), Told::Nothing);
 }
 
 #[test]
-fn positions_of_another_history_of_the_log_say_nothing() {
-    let told = status(RolloutState::Reverted, Some(at(2, 3)));
+fn positions_of_another_era_are_not_compared() {
+    let published = status(RolloutState::Reverted, Some(at(2, 3)));
     let undated = OpenRollout {
         is_dated: false,
         ..order()
     };
 
-    assert_eq!(told_of(&order(), &told, false), Told::Nothing);
     assert_eq!(
-        told_of(&undated, &told, false),
-        Told::State(RolloutState::Reverted)
+        reported_state(&order(), &published, false),
+        Reported::Nothing
+    );
+    assert_eq!(
+        reported_state(&undated, &published, false),
+        Reported::State(RolloutState::Reverted)
     );
 }
