--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -197,15 +197,15 @@
 }
 
 impl Rollout {
-    fn new(now: Time, told: &AnnouncedRollout, barred: BTreeSet<VersionId>) -> Self {
+    fn new(now: Time, announced: &AnnouncedRollout, barred: BTreeSet<VersionId>) -> Self {
         Rollout {
-            service: told.service.clone(),
-            ordered_at: told.ordered_at,
-            to: told.to.clone(),
-            duration: Duration::from_millis(u64::from(told.duration_ms)),
+            service: announced.service.clone(),
+            ordered_at: announced.ordered_at,
+            to: announced.to.clone(),
+            duration: Duration::from_millis(u64::from(announced.duration_ms)),
             learnt_at: now,
-            age_when_learnt: told.age_ms.map(duration_from_ms),
-            stage: told.stage,
+            age_when_learnt: announced.age_ms.map(duration_from_ms),
+            stage: announced.stage,
             stage_since: now,
             barred,
             trial_credit: None,
@@ -285,15 +285,15 @@
     }
 
     /// Takes another word of the same order; whether it has come further.
-    fn merge(&mut self, now: Time, told: &AnnouncedRollout) -> bool {
-        if let Some(age) = told.age_ms.map(duration_from_ms) {
+    fn merge(&mut self, now: Time, announced: &AnnouncedRollout) -> bool {
+        if let Some(age) = announced.age_ms.map(duration_from_ms) {
             // Datagrams take a while, so the highest age is the truest.
             let known = self.is_dated().then(|| self.age(now));
             self.age_when_learnt = Some(age.max(known.unwrap_or_default()));
             self.learnt_at = now;
         }
-        self.barred.extend(told.barred.iter().cloned());
-        self.advance(now, told.stage)
+        self.barred.extend(announced.barred.iter().cloned());
+        self.advance(now, announced.stage)
     }
 
     fn advance(&mut self, now: Time, stage: Stage) -> bool {
@@ -307,20 +307,21 @@
 
     /// Share of this host's requests that the version gets while it is tried.
     fn trial_share(&self, bound: ExposureBound) -> f64 {
-        let used = match self.is_dated() {
+        let fraction = match self.is_dated() {
             true => TRIAL_SHARE,
             false => TRIAL_SHARE_UNDATED,
         };
-        bound.share * used
+        bound.share * fraction
     }
 
     /// How long all new work may go to the new version, at so many requests a second, before it has got what a
     /// bad one may get.
     fn shift_duration(&self, bound: ExposureBound, requests_per_s: f64) -> Duration {
-        let whole = bound.share * requests_per_s * self.duration.as_secs_f64() + bound.slack;
-        let tried = self.trial_share(bound) * requests_per_s * self.duration.as_secs_f64()
+        let bound_requests =
+            bound.share * requests_per_s * self.duration.as_secs_f64() + bound.slack;
+        let trial_requests = self.trial_share(bound) * requests_per_s * self.duration.as_secs_f64()
             + bound.slack * TRIAL_SHARE;
-        let left = whole * (1.0 - RESERVED_SHARE) - tried;
+        let left = bound_requests * (1.0 - RESERVED_SHARE) - trial_requests;
         let seconds = (left / requests_per_s.max(1.0)).max(0.0);
         Duration::from_secs_f64(seconds).clamp(SHIFT_MIN, SHIFT_MAX)
     }
@@ -350,10 +351,10 @@
                     .saturating_sub(shift_duration);
                 let trial_end = self.duration.mul_f64(TRIAL_END_FRACTION);
                 let has_enough_answers = answers >= ANSWERS_MIN && evidence.has_covered_routes();
-                let is_in_doubt = evidence.is_in_doubt();
+                let in_doubt = evidence.is_in_doubt();
                 let is_due = age >= shift_at && has_enough_answers && new_upstreams > 0
                     || age >= trial_end && answers >= LATE_ANSWERS_MIN;
-                if is_due && !is_in_doubt {
+                if is_due && !in_doubt {
                     DueStep::Shift
                 } else if age < give_up_at {
                     DueStep::Nothing
@@ -424,9 +425,10 @@
     }
 
     /// Takes what another host tells.
-    pub fn receive(&mut self, now: Time, told: &[AnnouncedRollout]) -> Vec<RolloutChange> {
-        told.iter()
-            .filter_map(|told| self.apply(now, told))
+    pub fn receive(&mut self, now: Time, announced: &[AnnouncedRollout]) -> Vec<RolloutChange> {
+        announced
+            .iter()
+            .filter_map(|announced| self.apply(now, announced))
             .collect()
     }
 
@@ -446,7 +448,7 @@
                 Stage::Withdrawn,
             ),
         };
-        let told = AnnouncedRollout {
+        let announced = AnnouncedRollout {
             service: record.service.clone(),
             ordered_at: at,
             to,
@@ -455,27 +457,27 @@
             stage,
             barred: BTreeSet::new(),
         };
-        let change = self.apply(now, &told);
+        let change = self.apply(now, &announced);
         self.local_changes += u64::from(change.is_some());
         change
     }
 
-    fn apply(&mut self, now: Time, told: &AnnouncedRollout) -> Option<RolloutChange> {
-        let known = self.by_service.get_mut(&told.service);
+    fn apply(&mut self, now: Time, announced: &AnnouncedRollout) -> Option<RolloutChange> {
+        let known = self.by_service.get_mut(&announced.service);
         match known {
-            Some(known) if known.ordered_at > told.ordered_at => None,
-            Some(known) if known.ordered_at == told.ordered_at => {
-                known.merge(now, told).then(|| known.to_change(false))
+            Some(known) if known.ordered_at > announced.ordered_at => None,
+            Some(known) if known.ordered_at == announced.ordered_at => {
+                known.merge(now, announced).then(|| known.to_change(false))
             }
             known => {
-                let mut barred = told.barred.clone();
+                let mut barred = announced.barred.clone();
                 if let Some(known) = known {
                     barred.extend(known.unproven_versions());
                 }
-                barred.remove(&told.to);
-                let rollout = Rollout::new(now, told, barred);
+                barred.remove(&announced.to);
+                let rollout = Rollout::new(now, announced, barred);
                 let change = rollout.to_change(true);
-                self.by_service.insert(told.service.clone(), rollout);
+                self.by_service.insert(announced.service.clone(), rollout);
                 Some(change)
             }
         }
--- a/src/gateway/rollouts/evidence.rs
+++ b/src/gateway/rollouts/evidence.rs
@@ -209,16 +209,16 @@
         let tallies = self.routes.values().chain([&all]);
         tallies
             .map(judge_tally)
-            .min_by(|one, other| one.p_value.total_cmp(&other.p_value))
+            .min_by(|a, b| a.p_value.total_cmp(&b.p_value))
     }
 }
 
 fn judge_tally(tally: &RouteTally) -> Judgement {
     let RouteTally { old, new } = *tally;
-    let old_bad = f64::from(old.bad) + 1.0;
-    let old_bad = old_bad + BAD_RATE_DEVIATIONS * old_bad.sqrt();
+    let baseline_bad = f64::from(old.bad) + 1.0;
+    let baseline_bad = baseline_bad + BAD_RATE_DEVIATIONS * baseline_bad.sqrt();
     let expected =
-        (old_bad / (f64::from(old.answers) + 1.0)).clamp(BAD_RATE_FLOOR, BAD_RATE_CEILING);
+        (baseline_bad / (f64::from(old.answers) + 1.0)).clamp(BAD_RATE_FLOOR, BAD_RATE_CEILING);
     let p_value = binomial_tail(new.bad, new.answers, expected);
     Judgement { old, new, p_value }
 }
@@ -293,8 +293,8 @@
 
     fn sum(&self, now: Time) -> Evidence {
         let mut sum = Evidence::default();
-        let recent = self.buckets.iter();
-        for (_, evidence) in recent.filter(|(began, _)| now.since(*began) < WINDOW) {
+        let buckets = self.buckets.iter();
+        for (_, evidence) in buckets.filter(|(began, _)| now.since(*began) < WINDOW) {
             sum.add(evidence);
         }
         sum
@@ -316,16 +316,16 @@
 
     /// A request for the order's service was answered.
     pub fn record_answer(&mut self, now: Time, order: Position, answer: &Answer<'_>) {
-        let seen = self.local.entry(order).or_default();
+        let observed = self.local.entry(order).or_default();
         let route = xxh3_64(answer.route.as_bytes()) as u32;
         let is_bad = match answer.outcome {
             Outcome::Failed => true,
             Outcome::Took(time) => {
-                let times = seen.baseline.get(&(route, answer.measure));
+                let times = observed.baseline.get(&(route, answer.measure));
                 times.is_some_and(|times| times.is_slow(time))
             }
         };
-        let bucket = seen.bucket(now);
+        let bucket = observed.bucket(now);
         if let (Outcome::Took(time), Cohort::Old) = (answer.outcome, answer.cohort) {
             let times = bucket.times.entry((route, answer.measure)).or_default();
             times.add(LatencySum {
@@ -349,46 +349,50 @@
 
     /// What this host saw, for others.
     pub fn announce_host(&self, now: Time) -> Vec<AnnouncedEvidence> {
-        let own = self.local.iter().map(|(order, seen)| AnnouncedEvidence {
-            ordered_at: *order,
-            evidence: truncate_upstreams(seen.sum(now)),
-        });
-        own.collect()
+        let local = self
+            .local
+            .iter()
+            .map(|(order, observed)| AnnouncedEvidence {
+                ordered_at: *order,
+                evidence: truncate_upstreams(observed.sum(now)),
+            });
+        local.collect()
     }
 
     /// What the hosts of this data centre saw, for others.
     pub fn announce_data_centre(&self, now: Time) -> Vec<AnnouncedEvidence> {
-        let is_host = |teller: &Teller| matches!(teller, Teller::Host(_));
-        let own = self.local.keys().map(|order| AnnouncedEvidence {
+        let is_host = |source: &Teller| matches!(source, Teller::Host(_));
+        let local = self.local.keys().map(|order| AnnouncedEvidence {
             ordered_at: *order,
             evidence: truncate_upstreams(self.sum(now, *order, is_host)),
         });
-        own.collect()
+        local.collect()
     }
 
     /// Another host tells what it, or its data centre, saw.
-    pub fn receive(&mut self, now: Time, teller: Teller, told: Vec<AnnouncedEvidence>) {
-        self.received.insert(teller, (now, told));
+    pub fn receive(&mut self, now: Time, source: Teller, announced: Vec<AnnouncedEvidence>) {
+        self.received.insert(source, (now, announced));
     }
 
     /// What all hosts saw that are heard. From now on answers are slow beside the others of all these hosts.
     pub fn combine(&mut self, now: Time, order: Position) -> Evidence {
         let all = self.sum(now, order, |_| true);
-        if let Some(seen) = self.local.get_mut(&order) {
-            seen.baseline.clone_from(&all.times);
+        if let Some(observed) = self.local.get_mut(&order) {
+            observed.baseline.clone_from(&all.times);
         }
         all
     }
 
     fn sum(&self, now: Time, order: Position, is_counted: impl Fn(&Teller) -> bool) -> Evidence {
-        let own = self.local.get(&order);
-        let mut sum = own.map(|seen| seen.sum(now)).unwrap_or_default();
-        for (teller, (at, told)) in &self.received {
-            if now.since(*at) >= PEER_EVIDENCE_TTL || !is_counted(teller) {
+        let local = self.local.get(&order);
+        let mut sum = local.map(|observed| observed.sum(now)).unwrap_or_default();
+        for (source, (received_at, announcements)) in &self.received {
+            if now.since(*received_at) >= PEER_EVIDENCE_TTL || !is_counted(source) {
                 continue;
             }
-            for told in told.iter().filter(|told| told.ordered_at == order) {
-                sum.add(&told.evidence);
+            let of_order = announcements.iter().filter(|it| it.ordered_at == order);
+            for announced in of_order {
+                sum.add(&announced.evidence);
             }
         }
         sum
@@ -398,7 +402,7 @@
     pub fn retain(&mut self, now: Time, is_open: impl Fn(Position) -> bool) {
         self.local.retain(|order, _| is_open(*order));
         self.received
-            .retain(|_, (at, _)| now.since(*at) < PEER_EVIDENCE_TTL);
+            .retain(|_, (received_at, _)| now.since(*received_at) < PEER_EVIDENCE_TTL);
     }
 }
 
--- a/src/gateway/rollouts/evidence/tests.rs
+++ b/src/gateway/rollouts/evidence/tests.rs
@@ -24,7 +24,12 @@
 }
 
 /// Has `outcomes` come from so many upstreams in turn.
-fn note(evidences: &mut EvidenceStore, cohort: Cohort, upstreams: usize, outcomes: &[Outcome]) {
+fn record_answers(
+    store: &mut EvidenceStore,
+    cohort: Cohort,
+    upstreams: usize,
+    outcomes: &[Outcome],
+) {
     for (index, outcome) in outcomes.iter().enumerate() {
         let answer = Answer {
             route: "lookups",
@@ -33,7 +38,7 @@
             measure: Measure::Whole,
             outcome: *outcome,
         };
-        evidences.record_answer(NOW, order(), &answer);
+        store.record_answer(NOW, order(), &answer);
     }
 }
 
@@ -42,7 +47,7 @@
 }
 
 /// `bad` of `all` outcomes are failures.
-fn failing(bad: usize, all: usize) -> Vec<Outcome> {
+fn with_failures(bad: usize, all: usize) -> Vec<Outcome> {
     let outcome = |index| {
         if index < bad {
             Outcome::Failed
@@ -55,26 +60,23 @@
 
 /// Whether a version is judged bad whose answers are `new`, beside `old` ones.
 fn is_bad(old: &[Outcome], new: &[Outcome], new_upstreams: usize) -> bool {
-    let mut evidences = EvidenceStore::default();
-    note(&mut evidences, Cohort::Old, 20, old);
-    evidences.combine(NOW, order());
-    note(&mut evidences, Cohort::New, new_upstreams, new);
-    evidences
-        .combine(NOW, order())
-        .judge(new_upstreams)
-        .is_some()
+    let mut store = EvidenceStore::default();
+    record_answers(&mut store, Cohort::Old, 20, old);
+    store.combine(NOW, order());
+    record_answers(&mut store, Cohort::New, new_upstreams, new);
+    store.combine(NOW, order()).judge(new_upstreams).is_some()
 }
 
 #[test]
 fn a_version_that_fails_far_more_often_than_the_others_is_bad() {
-    assert!(is_bad(&failing(3, 400), &failing(10, 25), 5));
-    assert!(is_bad(&failing(56, 400), &failing(30, 60), 5));
+    assert!(is_bad(&with_failures(3, 400), &with_failures(10, 25), 5));
+    assert!(is_bad(&with_failures(56, 400), &with_failures(30, 60), 5));
 }
 
 #[test]
 fn a_version_that_fails_as_the_others_do_is_not_bad() {
-    assert!(!is_bad(&failing(56, 400), &failing(12, 60), 5));
-    assert!(!is_bad(&failing(3, 400), &failing(2, 25), 5));
+    assert!(!is_bad(&with_failures(56, 400), &with_failures(12, 60), 5));
+    assert!(!is_bad(&with_failures(3, 400), &with_failures(2, 25), 5));
 }
 
 #[test]
@@ -87,50 +89,46 @@
 
 // One upstream that is ill would else have its version reverted.
 #[test]
-fn bad_answers_of_one_upstream_of_many_say_nothing_of_its_version() {
-    let mut evidences = EvidenceStore::default();
-    note(&mut evidences, Cohort::Old, 20, &failing(0, 200));
-    note(&mut evidences, Cohort::New, 1, &failing(20, 20));
+fn bad_answers_of_one_upstream_do_not_make_its_version_bad() {
+    let mut store = EvidenceStore::default();
+    record_answers(&mut store, Cohort::Old, 20, &with_failures(0, 200));
+    record_answers(&mut store, Cohort::New, 1, &with_failures(20, 20));
 
-    let evidence = evidences.combine(NOW, order());
+    let evidence = store.combine(NOW, order());
 
     assert!(evidence.judge(12).is_none());
     assert!(evidence.judge(1).is_some());
 }
 
 #[test]
-fn what_hosts_saw_counts_together_and_lapses() {
+fn evidence_of_peers_adds_up_and_expires() {
     let mut local = EvidenceStore::default();
     for index in 0..6 {
         let mut other = EvidenceStore::default();
-        note(&mut other, Cohort::New, 3, &failing(3, 3));
-        let host = Teller::Host(HostId::new(format!("host-{index}")));
-        local.receive(NOW, host, other.announce_host(NOW));
+        record_answers(&mut other, Cohort::New, 3, &with_failures(3, 3));
+        let source = Teller::Host(HostId::new(format!("host-{index}")));
+        local.receive(NOW, source, other.announce_host(NOW));
     }
 
-    let heard = local.combine(Time::from_ms(8_900), order());
-    let lapsed = local.combine(Time::from_ms(9_100), order());
+    let fresh = local.combine(Time::from_ms(8_900), order());
+    let expired = local.combine(Time::from_ms(9_100), order());
 
-    assert_eq!(heard.new_answers(), 18);
-    assert!(heard.judge(3).is_some());
-    assert_eq!(lapsed.new_answers(), 0);
+    assert_eq!(fresh.new_answers(), 18);
+    assert!(fresh.judge(3).is_some());
+    assert_eq!(expired.new_answers(), 0);
 }
 
 #[test]
-fn old_answers_count_no_more() {
-    let mut evidences = EvidenceStore::default();
-    note(&mut evidences, Cohort::New, 3, &failing(9, 9));
+fn answers_older_than_the_window_are_dropped() {
+    let mut store = EvidenceStore::default();
+    record_answers(&mut store, Cohort::New, 3, &with_failures(9, 9));
 
     assert_eq!(
-        evidences
-            .combine(Time::from_ms(14_900), order())
-            .new_answers(),
+        store.combine(Time::from_ms(14_900), order()).new_answers(),
         9
     );
     assert_eq!(
-        evidences
-            .combine(Time::from_ms(15_100), order())
-            .new_answers(),
+        store.combine(Time::from_ms(15_100), order()).new_answers(),
         0
     );
 }
--- a/src/gateway/rollouts/tests.rs
+++ b/src/gateway/rollouts/tests.rs
@@ -20,7 +20,7 @@
     ServiceId::new("reports")
 }
 
-fn at(offset: u64) -> Position {
+fn position(offset: u64) -> Position {
     Position::new(Era::new(1), offset)
 }
 
@@ -36,16 +36,16 @@
 }
 
 /// What a host knows that has run for a minute and reads these orders, a second apart.
-fn ordered(versions: &[&str]) -> Rollouts {
+fn with_orders(versions: &[&str]) -> Rollouts {
     let mut rollouts = Rollouts::default();
     for (index, version) in versions.iter().enumerate() {
         let now = Time::from_ms(60_000 + 1_000 * index as u64);
-        rollouts.apply_record(now, &order(version), at(index as u64), true);
+        rollouts.apply_record(now, &order(version), position(index as u64), true);
     }
     rollouts
 }
 
-fn allowed(rollouts: &Rollouts, track: Track) -> Vec<&'static str> {
+fn allowed_versions(rollouts: &Rollouts, track: Track) -> Vec<&'static str> {
     let rollout = rollouts.get(&service()).unwrap();
     let versions = ["v1", "v2", "v3"].into_iter();
     versions
@@ -53,7 +53,7 @@
         .collect()
 }
 
-fn share(hosts: usize) -> TrialBudget {
+fn budget(hosts: usize) -> TrialBudget {
     TrialBudget {
         bound: ExposureBound::default(),
         hosts,
@@ -61,35 +61,35 @@
 }
 
 /// How many of `requests` at one host go to the version that is tried.
-fn tried(rollouts: &mut Rollouts, requests: usize, share: TrialBudget) -> usize {
+fn count_trials(rollouts: &mut Rollouts, requests: usize, budget: TrialBudget) -> usize {
     let now = Time::from_ms(62_000);
-    let tracks = (0..requests).map(|_| rollouts.assign_track(now, &service(), share, 0.5));
+    let tracks = (0..requests).map(|_| rollouts.assign_track(now, &service(), budget, 0.5));
     tracks.filter(|track| *track == Track::Trial).count()
 }
 
 #[test]
-fn a_version_that_is_tried_gets_half_of_what_a_bad_one_may() {
-    let mut rollouts = ordered(&["v2"]);
+fn a_trial_uses_half_of_the_exposure_bound() {
+    let mut rollouts = with_orders(&["v2"]);
 
-    assert_eq!(tried(&mut rollouts, 1_000, share(25)), 51);
+    assert_eq!(count_trials(&mut rollouts, 1_000, budget(25)), 51);
 }
 
 // A process that starts, again and again, would else give the version the slack anew each time.
 #[test]
-fn a_process_that_started_after_the_order_leaves_the_slack_to_others() {
-    let told = ordered(&["v2"]).announce(Time::from_ms(65_000));
+fn a_process_started_after_the_order_gets_no_slack() {
+    let announced = with_orders(&["v2"]).announce(Time::from_ms(65_000));
     let mut rollouts = Rollouts::default();
-    rollouts.receive(Time::from_ms(10), &told);
+    rollouts.receive(Time::from_ms(10), &announced);
 
     let now = Time::from_ms(500);
-    let tracks = (0..10).map(|_| rollouts.assign_track(now, &service(), share(1), 0.4));
-    let tried = tracks.filter(|track| *track == Track::Trial).count();
+    let tracks = (0..10).map(|_| rollouts.assign_track(now, &service(), budget(1), 0.4));
+    let trials = tracks.filter(|track| *track == Track::Trial).count();
 
-    assert_eq!(tried, 0);
+    assert_eq!(trials, 0);
 }
 
 #[test]
-fn a_bad_version_gets_nothing_and_a_good_one_all() {
+fn each_stage_allows_the_expected_versions() {
     let stages = [
         (Stage::Trial, Track::Stable, vec!["v1", "v3"]),
         (Stage::Trial, Track::Trial, vec!["v2"]),
@@ -99,48 +99,48 @@
         (Stage::Complete, Track::Stable, vec!["v2"]),
     ];
     for (stage, track, expected) in stages {
-        let mut rollouts = ordered(&["v2"]);
-        rollouts.advance(Time::from_ms(61_000), &service(), at(0), stage);
+        let mut rollouts = with_orders(&["v2"]);
+        rollouts.advance(Time::from_ms(61_000), &service(), position(0), stage);
 
-        assert_eq!(allowed(&rollouts, track), expected, "{stage:?}");
+        assert_eq!(allowed_versions(&rollouts, track), expected, "{stage:?}");
     }
 }
 
 // The version of an order that a later one replaced was never shown to be good.
 #[test]
-fn a_second_order_leaves_the_first_ones_version_without_work() {
-    let rollouts = ordered(&["v2", "v3"]);
+fn a_replaced_order_bars_its_version() {
+    let rollouts = with_orders(&["v2", "v3"]);
 
-    assert_eq!(allowed(&rollouts, Track::Stable), ["v1"]);
-    assert_eq!(allowed(&rollouts, Track::Trial), ["v3"]);
+    assert_eq!(allowed_versions(&rollouts, Track::Stable), ["v1"]);
+    assert_eq!(allowed_versions(&rollouts, Track::Trial), ["v3"]);
 }
 
 #[test]
-fn an_order_back_gives_the_version_before_its_work_again() {
-    let rollouts = ordered(&["v2", "v1"]);
+fn an_order_back_to_the_old_version_bars_the_new_one() {
+    let rollouts = with_orders(&["v2", "v1"]);
 
-    assert_eq!(allowed(&rollouts, Track::Trial), ["v1"]);
-    assert_eq!(allowed(&rollouts, Track::Stable), ["v3"]);
+    assert_eq!(allowed_versions(&rollouts, Track::Trial), ["v1"]);
+    assert_eq!(allowed_versions(&rollouts, Track::Stable), ["v3"]);
 }
 
 #[test]
-fn stages_only_rise_in_whatever_order_words_arrive() {
+fn a_stale_announcement_does_not_move_the_stage_back() {
     let now = Time::from_ms(61_000);
-    let mut ahead = ordered(&["v2"]);
-    ahead.advance(now, &service(), at(0), Stage::Reverted);
-    let behind = ordered(&["v2"]).announce(now);
+    let mut ahead = with_orders(&["v2"]);
+    ahead.advance(now, &service(), position(0), Stage::Reverted);
+    let stale = with_orders(&["v2"]).announce(now);
 
-    let changes = ahead.receive(now, &behind);
+    let changes = ahead.receive(now, &stale);
 
     assert_eq!(changes, []);
     assert_eq!(ahead.get(&service()).unwrap().stage(), Stage::Reverted);
 }
 
 #[test]
-fn an_older_order_replaces_no_newer_one() {
+fn an_older_order_does_not_replace_a_newer_one() {
     let now = Time::from_ms(62_000);
-    let mut newer = ordered(&["v2", "v3"]);
-    let older = ordered(&["v2"]).announce(now);
+    let mut newer = with_orders(&["v2", "v3"]);
+    let older = with_orders(&["v2"]).announce(now);
 
     let changes = newer.receive(now, &older);
 
@@ -149,15 +149,15 @@
 }
 
 #[test]
-fn an_order_that_is_taken_back_leaves_its_version_without_work() {
-    let mut rollouts = ordered(&["v2"]);
-    let taken_back = RolloutRecord {
+fn a_withdrawn_order_bars_its_version() {
+    let mut rollouts = with_orders(&["v2"]);
+    let withdrawn = RolloutRecord {
         order: None,
         ..order("v2")
     };
 
-    rollouts.apply_record(Time::from_ms(63_000), &taken_back, at(9), true);
-    rollouts.apply_record(Time::from_ms(64_000), &order("v3"), at(10), true);
+    rollouts.apply_record(Time::from_ms(63_000), &withdrawn, position(9), true);
+    rollouts.apply_record(Time::from_ms(64_000), &order("v3"), position(10), true);
 
     let barred = &rollouts.announce(Time::from_ms(64_000))[0].barred;
     assert_eq!(*barred, BTreeSet::from([VersionId::new("v2")]));
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -6,10 +6,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::at;
+use super::budget;
 use super::order;
+use super::position;
 use super::service;
-use super::share;
 use crate::clock::Time;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::Teller;
@@ -29,7 +29,7 @@
 use crate::id::VersionId;
 
 const STEP_MS: u64 = 50;
-const ROUND_MS: u64 = 250;
+const GOSSIP_INTERVAL_MS: u64 = 250;
 /// Hosts have run for so long when the order comes.
 const ORDERED_AT_MS: u64 = 60_000;
 const ROUTES: [&str; 3] = ["drafts", "checks", "lookups"];
@@ -39,7 +39,7 @@
 
 /// How a version is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Nature {
+enum Behaviour {
     Good,
     Fails,
     /// From this part of the order's time on.
@@ -52,14 +52,14 @@
 #[derive(Default)]
 struct Host {
     rollouts: Rollouts,
-    evidences: EvidenceStore,
+    evidence: EvidenceStore,
     started_ms: u64,
-    cut_until_ms: u64,
+    partitioned_until_ms: u64,
 }
 
 impl Host {
-    fn is_cut(&self, now_ms: u64) -> bool {
-        now_ms < self.cut_until_ms
+    fn is_partitioned(&self, now_ms: u64) -> bool {
+        now_ms < self.partitioned_until_ms
     }
 
     /// The time since its process started, as its clock tells.
@@ -67,46 +67,46 @@
         Time::from_ms(now_ms - self.started_ms)
     }
 
-    fn knows_order(&self) -> bool {
+    fn has_order(&self) -> bool {
         self.rollouts.get(&service()).is_some()
     }
 }
 
-struct World {
+struct Simulation {
     rng: ChaCha8Rng,
     hosts: Vec<Host>,
-    nature: Nature,
+    behaviour: Behaviour,
     duration: Duration,
     now_ms: u64,
     requests: u32,
-    exposed: u32,
-    bad: u32,
+    exposed_requests: u32,
+    bad_answers: u32,
     fiftieth_bad_ms: Option<u64>,
-    late: u32,
-    told: Vec<Stage>,
-    reasons: Vec<String>,
+    late_requests: u32,
+    reported: Vec<Stage>,
+    revert_reasons: Vec<String>,
 }
 
-impl World {
-    fn new(seed: u64, hosts: usize, nature: Nature) -> Self {
+impl Simulation {
+    fn new(seed: u64, hosts: usize, behaviour: Behaviour) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let duration = Duration::from_secs(rng.random_range(10..40));
-        let mut world = World {
+        let mut simulation = Simulation {
             hosts: (0..hosts).map(|_| Host::default()).collect(),
             rng,
-            nature,
+            behaviour,
             duration,
             now_ms: ORDERED_AT_MS,
             requests: 0,
-            exposed: 0,
-            bad: 0,
+            exposed_requests: 0,
+            bad_answers: 0,
             fiftieth_bad_ms: None,
-            late: 0,
-            told: Vec::new(),
-            reasons: Vec::new(),
+            late_requests: 0,
+            reported: Vec::new(),
+            revert_reasons: Vec::new(),
         };
-        world.order();
-        world
+        simulation.order();
+        simulation
     }
 
     fn order(&mut self) {
@@ -119,20 +119,20 @@
         };
         for host in &mut self.hosts {
             let now = host.clock(ORDERED_AT_MS);
-            host.rollouts.apply_record(now, &record, at(0), true);
+            host.rollouts.apply_record(now, &record, position(0), true);
         }
     }
 
     fn run(&mut self, requests_per_s: f64) {
         let ends_ms = ORDERED_AT_MS + self.duration.as_millis() as u64;
-        while self.now_ms < ends_ms && self.told.last() != Some(&Stage::Complete) {
-            self.trouble();
+        while self.now_ms < ends_ms && self.reported.last() != Some(&Stage::Complete) {
+            self.inject_faults();
             let arrivals = requests_per_s * STEP_MS as f64 / 1_000.0;
             let count = arrivals as usize + usize::from(self.rng.random_bool(arrivals.fract()));
             for _ in 0..count {
                 self.request();
             }
-            if self.now_ms.is_multiple_of(ROUND_MS) {
+            if self.now_ms.is_multiple_of(GOSSIP_INTERVAL_MS) {
                 self.gossip();
                 self.review();
             }
@@ -141,17 +141,17 @@
     }
 
     /// Hosts are cut off, or start again, each every 20 s on average.
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         for host in &mut self.hosts {
             if self.rng.random_bool(STEP_MS as f64 / 20_000.0) {
                 if self.rng.random_bool(0.5) {
                     *host = Host {
                         started_ms: self.now_ms,
-                        cut_until_ms: host.cut_until_ms,
+                        partitioned_until_ms: host.partitioned_until_ms,
                         ..Host::default()
                     };
                 } else {
-                    host.cut_until_ms = self.now_ms + self.rng.random_range(1_000..5_000);
+                    host.partitioned_until_ms = self.now_ms + self.rng.random_range(1_000..5_000);
                 }
             }
         }
@@ -162,19 +162,19 @@
         let count = self.hosts.len();
         let draw = self.rng.random();
         let (now_ms, host) = (self.now_ms, &mut self.hosts[index]);
-        if !host.knows_order() {
+        if !host.has_order() {
             // It isn't ready before another host has told it what it knows.
             return;
         }
         let now = host.clock(now_ms);
         self.requests += 1;
-        host.evidences.record_request(now, at(0));
+        host.evidence.record_request(now, position(0));
         let track = host
             .rollouts
-            .assign_track(now, &service(), share(count), draw);
+            .assign_track(now, &service(), budget(count), draw);
         let rollout = host.rollouts.get(&service()).unwrap();
         let goes_to_new = rollout.allows(&VersionId::new("v2"), track);
-        let is_cut = host.is_cut(now_ms);
+        let is_partitioned = host.is_partitioned(now_ms);
         let route = self.rng.random_range(0..ROUTES.len());
         let cohort = if goes_to_new {
             Cohort::New
@@ -183,7 +183,7 @@
         };
         let outcome = self.outcome(cohort, route);
         if goes_to_new {
-            self.expose(outcome, is_cut);
+            self.expose(outcome, is_partitioned);
         }
         let upstream = format!("up-{}", self.rng.random_range(0..NEW_UPSTREAMS));
         let answer = Answer {
@@ -194,47 +194,47 @@
             outcome,
         };
         self.hosts[index]
-            .evidences
-            .record_answer(now, at(0), &answer);
+            .evidence
+            .record_answer(now, position(0), &answer);
     }
 
-    fn expose(&mut self, outcome: Outcome, is_cut: bool) {
-        self.exposed += 1;
+    fn expose(&mut self, outcome: Outcome, is_partitioned: bool) {
+        self.exposed_requests += 1;
         let is_bad = match outcome {
             Outcome::Failed => true,
             Outcome::Took(time) => time > Duration::from_millis(180),
         };
-        self.bad += u32::from(is_bad);
-        if self.bad >= 50 {
+        self.bad_answers += u32::from(is_bad);
+        if self.bad_answers >= 50 {
             let at = *self.fiftieth_bad_ms.get_or_insert(self.now_ms);
-            let is_late = self.now_ms > at + REVERTED_WITHIN_MS && !is_cut;
-            self.late += u32::from(is_late);
+            let is_late = self.now_ms > at + REVERTED_WITHIN_MS && !is_partitioned;
+            self.late_requests += u32::from(is_late);
         }
     }
 
     /// Answers take 60 ms, a few much longer; one of a hundred fails, on one route one of eight.
     fn outcome(&mut self, cohort: Cohort, route: usize) -> Outcome {
         let since_ms = (self.now_ms - ORDERED_AT_MS) as f64;
-        let part = since_ms / self.duration.as_millis() as f64;
-        let is_ill = cohort == Cohort::New
-            && match self.nature {
-                Nature::Good => false,
-                Nature::Fails | Nature::Slow => true,
-                Nature::FailsLater(from) => part >= from,
-                Nature::FailsOnRoute(bad) => route == bad,
+        let elapsed_fraction = since_ms / self.duration.as_millis() as f64;
+        let is_defective = cohort == Cohort::New
+            && match self.behaviour {
+                Behaviour::Good => false,
+                Behaviour::Fails | Behaviour::Slow => true,
+                Behaviour::FailsLater(from) => elapsed_fraction >= from,
+                Behaviour::FailsOnRoute(bad) => route == bad,
             };
-        let usual_failures = if route == 2 { 0.12 } else { 0.01 };
-        let failures = match self.nature {
-            Nature::Slow => usual_failures,
-            _ if is_ill => 0.45,
-            _ => usual_failures,
+        let base_failure_rate = if route == 2 { 0.12 } else { 0.01 };
+        let failure_rate = match self.behaviour {
+            Behaviour::Slow => base_failure_rate,
+            _ if is_defective => 0.45,
+            _ => base_failure_rate,
         };
-        if self.rng.random_bool(failures) {
+        if self.rng.random_bool(failure_rate) {
             return Outcome::Failed;
         }
         let tail = if self.rng.random_bool(0.01) { 5.0 } else { 1.0 };
-        let slow = match self.nature {
-            Nature::Slow if is_ill => 4.0,
+        let slow = match self.behaviour {
+            Behaviour::Slow if is_defective => 4.0,
             _ => 1.0,
         };
         let ms = 60.0 * self.rng.random_range(0.5..1.6) * tail * slow;
@@ -244,33 +244,33 @@
     /// Each host that isn't cut off tells all others; one datagram of ten is lost.
     fn gossip(&mut self) {
         let now_ms = self.now_ms;
-        let speaking = self
+        let senders = self
             .hosts
             .iter()
             .enumerate()
-            .filter(|(_, host)| !host.is_cut(now_ms));
-        let told: Vec<_> = speaking
+            .filter(|(_, host)| !host.is_partitioned(now_ms));
+        let announced: Vec<_> = senders
             .map(|(index, host)| {
                 let now = host.clock(now_ms);
                 (
                     index,
                     host.rollouts.announce(now),
-                    host.evidences.announce_host(now),
+                    host.evidence.announce_host(now),
                 )
             })
             .collect();
         for (to, host) in self.hosts.iter_mut().enumerate() {
-            if host.is_cut(now_ms) {
+            if host.is_partitioned(now_ms) {
                 continue;
             }
             let now = host.clock(now_ms);
-            for (from, rollouts, evidences) in &told {
+            for (from, rollouts, evidence) in &announced {
                 if *from == to || self.rng.random_bool(0.1) {
                     continue;
                 }
                 host.rollouts.receive(now, rollouts);
-                let teller = Teller::Host(HostId::new(format!("host-{from}")));
-                host.evidences.receive(now, teller, evidences.clone());
+                let source = Teller::Host(HostId::new(format!("host-{from}")));
+                host.evidence.receive(now, source, evidence.clone());
             }
         }
     }
@@ -278,96 +278,97 @@
     /// Each host judges for itself; the first that is not cut off takes the steps that one takes for all.
     fn review(&mut self) {
         let now_ms = self.now_ms;
-        let conductor = self
+        let coordinator = self
             .hosts
             .iter()
-            .position(|host| !host.is_cut(now_ms) && host.knows_order());
-        let mut has_news = false;
+            .position(|host| !host.is_partitioned(now_ms) && host.has_order());
+        let mut has_changes = false;
         for (index, host) in self.hosts.iter_mut().enumerate() {
             let now = host.clock(now_ms);
             let Some(rollout) = host.rollouts.get(&service()) else {
                 continue;
             };
-            let evidence = host.evidences.combine(now, at(0));
+            let evidence = host.evidence.combine(now, position(0));
             let judgement = evidence.judge(NEW_UPSTREAMS);
             let bound = ExposureBound::default();
             let due = rollout.due_step(now, bound, &evidence, judgement.as_ref(), NEW_UPSTREAMS);
-            let is_conductor = conductor == Some(index);
+            let is_coordinator = coordinator == Some(index);
             if let DueStep::Revert(reason) = &due {
-                self.reasons.push(reason.clone());
+                self.revert_reasons.push(reason.clone());
             }
             let stage = match due {
-                DueStep::Revert(_) | DueStep::GiveUp(_) if is_conductor => Stage::Reverted,
+                DueStep::Revert(_) | DueStep::GiveUp(_) if is_coordinator => Stage::Reverted,
                 DueStep::Revert(_) => Stage::Reverting,
-                DueStep::Shift if is_conductor => Stage::Shift,
-                DueStep::Complete if is_conductor => Stage::Complete,
+                DueStep::Shift if is_coordinator => Stage::Shift,
+                DueStep::Complete if is_coordinator => Stage::Complete,
                 DueStep::Nothing | DueStep::Shift | DueStep::Complete | DueStep::GiveUp(_) => {
                     continue;
                 }
             };
-            let change = host.rollouts.advance(now, &service(), at(0), stage);
-            has_news |= change.is_some();
-            if is_conductor {
-                self.told.extend(change.map(|change| change.stage));
+            let change = host.rollouts.advance(now, &service(), position(0), stage);
+            has_changes |= change.is_some();
+            if is_coordinator {
+                self.reported.extend(change.map(|change| change.stage));
             }
         }
-        if has_news {
+        if has_changes {
             self.gossip();
         }
     }
 
-    fn allowed(&self) -> f64 {
+    fn bound_requests(&self) -> f64 {
         let bound = ExposureBound::default();
         f64::from(self.requests) * bound.share + bound.slack
     }
 }
 
-fn drawn(seed: u64) -> World {
+fn simulate(seed: u64) -> Simulation {
     let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
-    let nature = match rng.random_range(0..6) {
-        0 | 1 => Nature::Good,
-        2 => Nature::Fails,
-        3 => Nature::FailsLater(rng.random_range(0.1..0.6)),
-        4 => Nature::FailsOnRoute(rng.random_range(0..ROUTES.len())),
-        _ => Nature::Slow,
+    let behaviour = match rng.random_range(0..6) {
+        0 | 1 => Behaviour::Good,
+        2 => Behaviour::Fails,
+        3 => Behaviour::FailsLater(rng.random_range(0.1..0.6)),
+        4 => Behaviour::FailsOnRoute(rng.random_range(0..ROUTES.len())),
+        _ => Behaviour::Slow,
     };
     let hosts = if seed.is_multiple_of(8) { 66 } else { 6 };
-    let mut world = World::new(seed, hosts, nature);
+    let mut simulation = Simulation::new(seed, hosts, behaviour);
     let requests_per_s = rng.random_range(40.0..150.0);
-    world.run(requests_per_s);
-    world
+    simulation.run(requests_per_s);
+    simulation
 }
 
 // A version got its part of all requests from its start on, bad or good.
 #[test]
-fn no_bad_version_of_a_hundred_gets_more_than_it_may_and_good_ones_complete_in_time() {
+fn bad_versions_stay_within_the_exposure_bound_and_good_ones_complete_in_time() {
     for seed in 0..100 {
-        let world = drawn(seed);
+        let simulation = simulate(seed);
 
-        let World {
-            nature,
-            told,
-            reasons,
+        let Simulation {
+            behaviour,
+            reported,
+            revert_reasons,
             ..
-        } = &world;
-        let (exposed, allowed) = (world.exposed, world.allowed());
-        if *nature == Nature::Good {
+        } = &simulation;
+        let (exposed_requests, bound_requests) =
+            (simulation.exposed_requests, simulation.bound_requests());
+        if *behaviour == Behaviour::Good {
             assert_eq!(
-                told.last(),
+                reported.last(),
                 Some(&Stage::Complete),
-                "seed {seed}: {told:?} {reasons:?}"
+                "seed {seed}: {reported:?} {revert_reasons:?}"
             );
         } else {
             assert_eq!(
-                told.last(),
+                reported.last(),
                 Some(&Stage::Reverted),
-                "seed {seed}: {nature:?} {told:?}"
+                "seed {seed}: {behaviour:?} {reported:?}"
             );
             assert!(
-                f64::from(exposed) <= allowed,
-                "seed {seed}: {exposed} of {allowed}"
+                f64::from(exposed_requests) <= bound_requests,
+                "seed {seed}: {exposed_requests} of {bound_requests}"
             );
-            assert_eq!(world.late, 0, "seed {seed}: {nature:?}");
+            assert_eq!(simulation.late_requests, 0, "seed {seed}: {behaviour:?}");
         }
     }
 }
--- a/tests/rollouts/mod.rs
+++ b/tests/rollouts/mod.rs
@@ -23,7 +23,7 @@
 struct Deployment {
     hosts: Vec<World>,
     new: Vec<FakeUpstream>,
-    asked: usize,
+    requests_sent: usize,
 }
 
 impl Deployment {
@@ -39,7 +39,7 @@
         };
         let deployment = Deployment {
             new: upstreams("v2", new),
-            asked: 0,
+            requests_sent: 0,
             hosts,
         };
         for old in upstreams("v1", &sound) {
@@ -65,30 +65,30 @@
     }
 
     /// Sends requests until operators are told the end, or the time is up.
-    fn ask_until_told(&mut self) {
-        let ends = Instant::now() + DURATION;
-        while Instant::now() < ends && self.told().len() < 2 {
-            self.ask_all(10);
+    fn request_until_ended(&mut self) {
+        let deadline = Instant::now() + DURATION;
+        while Instant::now() < deadline && self.reported_states().len() < 2 {
+            self.request_from_each(10);
         }
     }
 
-    fn ask_all(&mut self, requests: usize) {
+    fn request_from_each(&mut self, requests: usize) {
         for _ in 0..requests {
             for host in &self.hosts {
                 let answer = ask(host.callers(), &get("/nets/7", ""));
                 assert_eq!(answer.status, 200);
             }
         }
-        self.asked += requests * self.hosts.len();
+        self.requests_sent += requests * self.hosts.len();
     }
 
-    fn told(&self) -> Vec<String> {
-        let told = self.log().written("status", "rollout-nets");
+    fn reported_states(&self) -> Vec<String> {
+        let reported = self.log().written("status", "rollout-nets");
         let state = |status: &Value| status["state"].as_str().unwrap_or("").to_owned();
-        told.iter().map(state).collect()
+        reported.iter().map(state).collect()
     }
 
-    fn seen_by_new(&self) -> usize {
+    fn requests_to_new(&self) -> usize {
         self.new.iter().map(|upstream| upstream.seen().len()).sum()
     }
 }
@@ -99,17 +99,17 @@
     let mut deployment = Deployment::start(&Behaviour::Answer(500, "broken"));
     deployment.order();
 
-    deployment.ask_until_told();
-    let seen = deployment.seen_by_new();
-    deployment.ask_all(50);
+    deployment.request_until_ended();
+    let seen = deployment.requests_to_new();
+    deployment.request_from_each(50);
 
-    assert_eq!(deployment.told(), ["running", "reverted"]);
+    assert_eq!(deployment.reported_states(), ["running", "reverted"]);
     assert!(
-        seen <= deployment.asked / 10 + SLACK,
+        seen <= deployment.requests_sent / 10 + SLACK,
         "{seen} of {}",
-        deployment.asked
+        deployment.requests_sent
     );
-    assert_eq!(deployment.seen_by_new(), seen);
+    assert_eq!(deployment.requests_to_new(), seen);
 }
 
 #[test]
@@ -117,28 +117,28 @@
     let mut deployment = Deployment::start(&Behaviour::Answer(200, "new"));
     deployment.order();
 
-    deployment.ask_until_told();
-    let told = deployment.told();
-    let before = deployment.seen_by_new();
-    deployment.ask_all(20);
+    deployment.request_until_ended();
+    let reported = deployment.reported_states();
+    let before = deployment.requests_to_new();
+    deployment.request_from_each(20);
 
-    assert_eq!(told, ["running", "complete"]);
-    assert_eq!(deployment.seen_by_new() - before, 60);
+    assert_eq!(reported, ["running", "complete"]);
+    assert_eq!(deployment.requests_to_new() - before, 60);
 }
 
 // A host that looked only after another had told the end told operators again that the order runs.
 #[test]
-fn a_late_host_does_not_tell_an_ended_order_anew() {
+fn a_late_host_does_not_report_an_ended_order_again() {
     let deployment = Deployment::start(&Behaviour::Answer(200, "new"));
     let ended = json!({"to": "v2", "state": "complete", "order": {"era": 1, "offset": 1}});
     deployment.log().put("status", "rollout-nets", &ended);
 
     deployment.order();
-    let ends_here = wait_until(|| {
+    let serves_new = wait_until(|| {
         let answers = (0..20).map(|_| ask(deployment.hosts[0].callers(), &get("/nets/7", "")));
         answers.into_iter().all(|answer| answer.body == b"new")
     });
 
-    assert!(ends_here);
-    assert_eq!(deployment.told(), ["complete"]);
+    assert!(serves_new);
+    assert_eq!(deployment.reported_states(), ["complete"]);
 }
