--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -1,14 +1,14 @@
-//! Roll-outs: a service's traffic moves from the upstreams that it has to those of another version.
+//! Rollouts: move a service's traffic from its current upstreams to those of a new version.
 //!
-//! The load that this answers: a version that is bad at once, later, under load or on one route, over hundreds of
-//! hosts that hear each other late or not at all. While a version is tried, each host gives it a small share of the
-//! requests that it gets itself. The share holds for all hosts together without a word between them, also
-//! behind cuts and through restarts. What upstreams of both versions answer at the same time decides
-//! ([`evidence`]); for a moment before the end all new work goes to the new version, so that the old one
-//! is empty when the platform stops it.
+//! A new version may be bad at once, later, under load or on one route only, and hundreds of hosts may
+//! learn of that late or not at all. During the trial each host therefore sends the new version a small
+//! share of its own requests. These shares add up to the exposure bound without coordination,
+//! also across partitions and restarts. The answers of both versions over the same time decide whether the
+//! new one is good ([`evidence`]). Before a rollout completes, all new work goes to the new version for a
+//! short time, so that the old version is idle when the platform stops it.
 //!
-//! An order is known by the position of its record: a later one replaces it. The stage of an order only advances,
-//! so words of hosts merge in whatever order they arrive.
+//! An order is identified by the position of its record in the log: a later order replaces an earlier one.
+//! The stage of an order never moves back, so announcements of peers merge to the same result in any order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,33 +26,33 @@
 
 pub mod evidence;
 
-/// Of what a bad version may get, the part that is used before it has proved good.
+/// Fraction of the exposure bound that the trial uses.
 const TRIAL_SHARE: f64 = 0.5;
-/// The same of a host that doesn't know for how long the order has stood.
+/// Fraction of the bound's share that a host uses while it doesn't know the age of the order.
 const TRIAL_SHARE_UNDATED: f64 = 0.2;
-/// The part of what a bad version may get that is left alone by all.
+/// Fraction of the exposure bound that neither the trial nor the shift uses.
 const RESERVED_SHARE: f64 = 0.1;
-/// A version takes over this long after its order, as a part of the time that operators give.
+/// Fraction of the order's duration after which the shift ends.
 const SHIFT_END_FRACTION: f64 = 0.8;
-/// A version of which little has been seen by then is tried until this part of the time has passed.
+/// Fraction of the order's duration after which [`LATE_ANSWERS_MIN`] answers are enough to end the trial.
 const TRIAL_END_FRACTION: f64 = 0.92;
-/// One that has not proved good after this part of it is given up.
+/// Fraction of the order's duration after which a version that has not proved good is given up.
 const GIVE_UP_FRACTION: f64 = 0.97;
-/// Time for which new work goes to the new version before the old one is stopped: calls end in it, and
-/// generations are moved.
+/// Minimum duration of the shift: calls to the old version end in it, and its generations are moved.
 const SHIFT_MIN: Duration = Duration::from_millis(300);
+/// Maximum duration of the shift.
 const SHIFT_MAX: Duration = Duration::from_millis(2_500);
-/// Answers of the new version before it takes over.
+/// Answers of the new version that are needed to end the trial.
 const ANSWERS_MIN: u32 = 20;
-/// The same when the time is nearly up.
+/// Answers that are needed once [`TRIAL_END_FRACTION`] has passed.
 const LATE_ANSWERS_MIN: u32 = 4;
 
-/// How many requests a bad version may get of all hosts together.
+/// Limit on the requests that a bad version may get from all hosts together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureBound {
-    /// Part of the service's requests between the order and the end of its time,
+    /// Fraction of the service's requests during the order's duration.
     pub share: f64,
-    /// and so many beside.
+    /// Number of requests on top of the share.
     pub slack: f64,
 }
 
@@ -65,40 +65,40 @@
     }
 }
 
-/// What operators order for a service.
+/// An operator's order to move a service to another version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// The version that its traffic shall go to.
+    /// The version to move the traffic to.
     pub to: VersionId,
-    /// Time in which that shall be done.
+    /// Time within which the rollout has to end.
     pub duration: Duration,
 }
 
-/// What a record of the operators says of a service's roll-out.
+/// A rollout record of the operators' topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutRecord {
     /// The service.
     pub service: ServiceId,
-    /// The order; none where it is taken back, or can't be read.
+    /// The order; none if it was withdrawn or can't be parsed.
     pub order: Option<RolloutOrder>,
-    /// What is wrong with the record.
+    /// Why the record can't be parsed.
     pub flaw: Option<String>,
 }
 
-/// How far an order has come. A later stage replaces an earlier one.
+/// Progress of an order. Stages are ordered: a later one replaces an earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// The new version gets a share.
+    /// The new version gets a small share of the requests.
     Trial,
     /// All new work goes to the new version.
     Shift,
-    /// The new version is bad; operators have not been told yet.
+    /// The new version gets no work; this has not been reported to operators yet.
     Reverting,
-    /// They have.
+    /// The new version gets no work, and operators know it.
     Reverted,
-    /// The old version is stopped.
+    /// All work goes to the new version, and operators may stop the old one.
     Complete,
-    /// Operators have taken the order back.
+    /// Operators have withdrawn the order.
     Withdrawn,
 }
 
@@ -115,71 +115,73 @@
         }
     }
 
-    /// Whether operators wait for its end.
+    /// Whether the order has neither ended nor been withdrawn.
     pub const fn is_open(self) -> bool {
         matches!(self, Stage::Trial | Stage::Shift | Stage::Reverting)
     }
 }
 
-/// A roll-out as hosts tell it to each other.
+/// State of a rollout as hosts announce it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedRollout {
     /// The service.
     pub service: ServiceId,
     /// The position of the order's record.
     pub ordered_at: Position,
-    /// The version that is ordered.
+    /// The new version.
     pub to: VersionId,
-    /// Time in which it shall be done, in milliseconds.
+    /// Time within which the rollout has to end, in milliseconds.
     pub duration_ms: u32,
-    /// Time since the order, if that is known, in milliseconds.
+    /// Time since the order in milliseconds, if known.
     pub age_ms: Option<u32>,
-    /// How far it has come.
+    /// Its progress.
     pub stage: Stage,
-    /// Versions of earlier orders that never proved good.
+    /// Versions of earlier orders that never proved good and get no work.
     pub barred: BTreeSet<VersionId>,
 }
 
-/// A roll-out that is new, or has come further.
+/// A rollout that is new or has reached another stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutChange {
     /// The service.
     pub service: ServiceId,
     /// The position of the order's record.
     pub ordered_at: Position,
-    /// The version that is ordered.
+    /// The new version.
     pub to: VersionId,
-    /// How far it has come.
+    /// Its progress.
     pub stage: Stage,
-    /// Whether the order was not known before.
+    /// Whether this host did not know the order before.
     pub is_new: bool,
 }
 
-/// Which upstreams a request may go to while a version is tried.
+/// The group of upstreams that a request may go to during a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Track {
-    /// Those that have proved good.
+    /// Upstreams of versions that are neither on trial nor barred.
     Stable,
-    /// Those of the version that is tried.
+    /// Upstreams of the version on trial.
     Trial,
 }
 
-/// What the next step of an order is.
+/// The next step of an order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DueStep {
-    /// None yet.
+    /// No step is due.
     Nothing,
-    /// All new work goes to the new version.
+    /// Send all new work to the new version.
     Shift,
-    /// Operators are told that it is complete.
+    /// Report to operators that the rollout is complete.
     Complete,
-    /// The version is bad, for this reason: no host gives it work any more, and operators are told.
+    /// Stop sending work to the new version, which is bad for this reason, and report it to operators.
     Revert(String),
-    /// The same because it has not proved good in its time. A host that hears few others must not decide that alone.
+    /// Revert the version for this reason: it has not proved good in time. Each host may decide
+    /// [`DueStep::Revert`] alone, but not this, as a host that receives from few others has little
+    /// evidence.
     GiveUp(String),
 }
 
-/// One order as this host knows it.
+/// This host's state of one order.
 #[derive(Debug, Clone)]
 pub struct Rollout {
     service: ServiceId,
@@ -187,12 +189,13 @@
     to: VersionId,
     duration: Duration,
     learnt_at: Time,
-    /// Time between the order and `learnt_at`; none if that is not known.
+    /// Age of the order at `learnt_at`; none if unknown.
     age_when_learnt: Option<Duration>,
     stage: Stage,
     stage_since: Time,
     barred: BTreeSet<VersionId>,
-    /// Requests that this host may still give to the version that is tried; none before its first request.
+    /// Requests that this host may send to the version on trial; none before the first request of the
+    /// service.
     trial_credit: Option<f64>,
 }
 
@@ -222,32 +225,32 @@
         self.ordered_at
     }
 
-    /// The version that is ordered.
+    /// The new version.
     pub fn to(&self) -> &VersionId {
         &self.to
     }
 
-    /// How far it has come.
+    /// Its progress.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Since when all new work has gone to the new version, if it does.
+    /// When all new work began to go to the new version; none if it doesn't.
     pub fn shifted_since(&self) -> Option<Time> {
         matches!(self.stage, Stage::Shift | Stage::Complete).then_some(self.stage_since)
     }
 
-    /// Whether it is known when it was ordered.
+    /// Whether the age of the order is known.
     pub fn is_dated(&self) -> bool {
         self.age_when_learnt.is_some()
     }
 
-    /// Time since the order; since this host learnt of it, if that is all that is known.
+    /// Time since the order, or since this host learnt of it if the order's age is unknown.
     pub fn age(&self, now: Time) -> Duration {
         now.since(self.learnt_at) + self.age_when_learnt.unwrap_or_default()
     }
 
-    /// Whether an upstream of `version` may get a request on `track`, as far as the order goes.
+    /// Whether the order lets an upstream of `version` get a request on `track`.
     pub fn allows(&self, version: &VersionId, track: Track) -> bool {
         if self.barred.contains(version) {
             return false;
@@ -284,10 +287,11 @@
         }
     }
 
-    /// Takes another word of the same order; whether it has come further.
+    /// Merges an announcement of the same order. Returns whether the stage advanced.
     fn merge(&mut self, now: Time, announced: &AnnouncedRollout) -> bool {
         if let Some(age) = announced.age_ms.map(duration_from_ms) {
-            // Datagrams take a while, so the highest age is the truest.
+            // An announced age lacks the time that its datagram took, so the highest one is the most
+            // accurate.
             let known = self.is_dated().then(|| self.age(now));
             self.age_when_learnt = Some(age.max(known.unwrap_or_default()));
             self.learnt_at = now;
@@ -296,6 +300,7 @@
         self.advance(now, announced.stage)
     }
 
+    /// Moves to `stage` if it is a later one. Returns whether it is.
     fn advance(&mut self, now: Time, stage: Stage) -> bool {
         let advances = stage > self.stage;
         if advances {
@@ -305,7 +310,7 @@
         advances
     }
 
-    /// Share of this host's requests that the version gets while it is tried.
+    /// Fraction of this host's requests that the new version gets during the trial.
     fn trial_share(&self, bound: ExposureBound) -> f64 {
         let fraction = match self.is_dated() {
             true => TRIAL_SHARE,
@@ -314,8 +319,8 @@
         bound.share * fraction
     }
 
-    /// How long all new work may go to the new version, at so many requests a second, before it has got what a
-    /// bad one may get.
+    /// Time for which the new version may get `requests_per_s` until the rest of the exposure bound is used
+    /// up.
     fn shift_duration(&self, bound: ExposureBound, requests_per_s: f64) -> Duration {
         let bound_requests =
             bound.share * requests_per_s * self.duration.as_secs_f64() + bound.slack;
@@ -326,8 +331,9 @@
         Duration::from_secs_f64(seconds).clamp(SHIFT_MIN, SHIFT_MAX)
     }
 
-    /// What the next step is. `evidence` is of all hosts that are heard, `judgement` what it comes to, and
-    /// `new_upstreams` the number of those of the new version.
+    /// Returns the step that is due. `evidence` is that of all hosts from which this one receives,
+    /// `judgement` is its result, and `new_upstreams` counts the upstreams of the new version that take
+    /// work.
     pub fn due_step(
         &self,
         now: Time,
@@ -360,16 +366,16 @@
                     DueStep::Nothing
                 } else {
                     DueStep::GiveUp(format!(
-                        "the time is nearly up, {new_upstreams} upstreams of the version gave {answers} answers"
+                        "not proved good near the deadline: {answers} answers from {new_upstreams} upstreams"
                     ))
                 }
             }
             Stage::Shift if now.since(self.stage_since) < shift_duration => DueStep::Nothing,
             Stage::Shift if !evidence.is_in_doubt() => DueStep::Complete,
             Stage::Shift if age >= give_up_at => {
-                DueStep::GiveUp("it may be bad, and the time is nearly up".to_owned())
+                DueStep::GiveUp("still in doubt near the deadline".to_owned())
             }
-            Stage::Reverting => DueStep::Revert("it was judged bad before".to_owned()),
+            Stage::Reverting => DueStep::Revert("judged bad earlier".to_owned()),
             Stage::Shift | Stage::Reverted | Stage::Complete | Stage::Withdrawn => DueStep::Nothing,
         }
     }
@@ -379,12 +385,12 @@
     Duration::from_millis(u64::from(ms))
 }
 
-/// The hosts among which what is given to a version beside its share is divided.
+/// The exposure bound and the hosts that divide its slack among them.
 #[derive(Debug, Clone, Copy)]
 pub struct TrialBudget {
-    /// The bound.
+    /// The bound for all hosts together.
     pub bound: ExposureBound,
-    /// Hosts that share it.
+    /// Number of hosts.
     pub hosts: usize,
 }
 
@@ -392,7 +398,7 @@
 #[derive(Debug, Default)]
 pub struct Rollouts {
     by_service: BTreeMap<ServiceId, Rollout>,
-    /// Rises with what this host learnt for itself.
+    /// Counts changes that this host did not learn from a peer.
     local_changes: u64,
 }
 
@@ -402,29 +408,29 @@
         self.by_service.get(service)
     }
 
-    /// Whether there is no order.
+    /// Whether no order is known.
     pub fn is_empty(&self) -> bool {
         self.by_service.is_empty()
     }
 
-    /// The orders whose end operators wait for.
+    /// The orders that have neither ended nor been withdrawn.
     pub fn open(&self) -> impl Iterator<Item = &Rollout> {
         let all = self.by_service.values();
         all.filter(|rollout| rollout.stage.is_open())
     }
 
-    /// Rises with what this host learnt for itself, which others have to be told at once.
+    /// Counts changes that this host did not learn from a peer, and so has to announce at once.
     pub fn local_changes(&self) -> u64 {
         self.local_changes
     }
 
-    /// What this host knows, for others.
+    /// Returns the state of all orders, to be announced to peers.
     pub fn announce(&self, now: Time) -> Vec<AnnouncedRollout> {
         let all = self.by_service.values();
         all.map(|rollout| rollout.announce(now)).collect()
     }
 
-    /// Takes what another host tells.
+    /// Merges what a peer announces.
     pub fn receive(&mut self, now: Time, announced: &[AnnouncedRollout]) -> Vec<RolloutChange> {
         announced
             .iter()
@@ -432,7 +438,8 @@
             .collect()
     }
 
-    /// Takes a record of the operators. `is_fresh` tells whether it was written a moment ago.
+    /// Applies a record of the operators. `is_fresh` says that it was written just now, so the order's age
+    /// is zero.
     pub fn apply_record(
         &mut self,
         now: Time,
@@ -483,7 +490,7 @@
         }
     }
 
-    /// An order has come further, by what this host saw or did.
+    /// Moves an order to a later stage by a decision of this host.
     pub fn advance(
         &mut self,
         now: Time,
@@ -497,7 +504,8 @@
         advances.then(|| rollout.to_change(false))
     }
 
-    /// Which upstreams a request of a service goes to that arrived now. `sample` is a random number from 0 to 1.
+    /// Returns the track of a request for `service` that arrives at `now`. `sample`, a random number from 0
+    /// to 1, is part of the host's initial credit for trial requests.
     pub fn assign_track(
         &mut self,
         now: Time,
@@ -512,7 +520,8 @@
             return Track::Stable;
         }
         let per_request = rollout.trial_share(budget.bound);
-        // A process that starts after the order leaves the slack to those that were there.
+        // A process that started after the order gets no slack, or each restart would use a part of it
+        // again.
         let started_before_order = rollout.is_dated() && rollout.age(now) < now.since(Time::ZERO);
         let slack = match started_before_order {
             true => budget.bound.slack * TRIAL_SHARE / budget.hosts.max(1) as f64,
@@ -529,7 +538,7 @@
 }
 
 impl Rollout {
-    /// The versions that have not proved good when a later order comes.
+    /// The versions that a later order bars, as they have not proved good.
     fn unproven_versions(&self) -> BTreeSet<VersionId> {
         match self.stage {
             Stage::Complete => BTreeSet::new(),
