--- a/src/gateway/rollouts/evidence.rs
+++ b/src/gateway/rollouts/evidence.rs
@@ -1,9 +1,9 @@
-//! What a version's upstreams answer, beside what the others answer to the same routes at the same time.
+//! Compares the answers of a new version with those of the others on the same routes at the same time.
 //!
-//! An answer is bad if it is a failure, or took several times as long as those of the other upstreams do on its
-//! route. Upstreams of both versions fail, and are slow in a surge; a version is bad where it fails far more often
-//! than chance allows by the others' rate. One upstream that is ill is no bad version, so bad answers must come from
-//! several.
+//! An answer is bad if it failed, or took several times the mean of the other versions' upstreams on its
+//! route. Upstreams of any version fail at times and slow down in a surge, so the new version is bad only
+//! if its rate of bad answers is far higher than chance allows at the others' rate. A single faulty
+//! upstream doesn't make its version bad, so bad answers have to come from several.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,59 +21,61 @@
 use crate::gateway::loads::Teller;
 use crate::gateway::position::Position;
 
-/// Answers of so long are judged together.
+/// Answers of this window are judged together.
 const WINDOW: Duration = Duration::from_secs(10);
-/// They are counted in parts of it.
+/// Length of the buckets that make up the window.
 const BUCKET: Duration = Duration::from_secs(1);
-/// What another host tells of its window counts for so long.
+/// Time for which evidence from a peer counts after it was received.
 const PEER_EVIDENCE_TTL: Duration = Duration::from_millis(4_000);
-/// An answer that takes so many times as long as the others' mean is bad.
+/// An answer that takes longer than this multiple of the others' mean is bad.
 const SLOW_FACTOR: f64 = 2.5;
-/// The mean is known from so many answers of all hosts on.
+/// Answers of all hosts to a route that its mean has to rest on.
 const BASELINE_ANSWERS_MIN: u32 = 6;
-/// A version is bad if its bad answers would come by chance in fewer cases than this.
+/// A version is bad if the p-value of its bad answers is below this.
 const BAD_P_VALUE: f64 = 1e-5;
-/// and in doubt below this one.
+/// A version is in doubt if the p-value of its bad answers is below this.
 const DOUBT_P_VALUE: f64 = 0.002;
-/// A route with this part of the others' answers has to be tried,
+/// The trial has to cover every route with at least this fraction of the others' answers.
 const ROUTE_SHARE_MIN: f64 = 0.08;
-/// by so many answers of the version.
+/// Answers of the new version that cover a route.
 const ROUTE_ANSWERS_MIN: u32 = 8;
-/// Rate of bad answers that no version is reverted for.
+/// Lower limit of the expected rate of bad answers: no version is reverted at a rate up to this one.
 const BAD_RATE_FLOOR: f64 = 0.05;
-/// A version that fails more often than this is bad whatever is known of the others.
+/// Upper limit of the expected rate of bad answers: a version that fails far more often is bad whatever the
+/// others' rate is.
 const BAD_RATE_CEILING: f64 = 0.5;
-/// The others' rate is taken for so many standard deviations higher than it was seen.
+/// Standard deviations by which the expected rate exceeds the observed rate of the others.
 const BAD_RATE_DEVIATIONS: f64 = 2.0;
-/// Bad answers come from so many upstreams, if there are as many.
+/// Upstreams that have to give bad answers before a version is bad, or all of its upstreams if it has
+/// fewer.
 const BAD_UPSTREAMS_MIN: usize = 3;
-/// Upstreams with bad answers that a host tells of.
+/// Upstreams with bad answers that an announcement names.
 const BAD_UPSTREAMS_ANNOUNCED: usize = 4;
 
-/// Whether an upstream is of the version that is tried.
+/// The group of versions that an upstream belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cohort {
-    /// It isn't.
+    /// All versions but the one on trial.
     Old,
-    /// It is.
+    /// The version on trial.
     New,
 }
 
-/// What of an answer was timed.
+/// The part of an answer that was timed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Measure {
-    /// A whole answer.
+    /// The whole answer.
     Whole,
-    /// The first event of a stream.
+    /// The time to the first event of a stream.
     FirstEvent,
-    /// The time between its first events.
+    /// The time between the first events of a stream.
     Pace,
 }
 
-/// What came of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
-    /// It was answered after this time.
+    /// It was answered within this time.
     Took(Duration),
     /// It failed.
     Failed,
@@ -84,17 +86,17 @@
 pub struct Answer<'a> {
     /// The request's route.
     pub route: &'a str,
-    /// The upstream.
+    /// The upstream that answered.
     pub upstream: InstanceKey,
-    /// Its version.
+    /// The upstream's cohort.
     pub cohort: Cohort,
-    /// What was timed.
+    /// The part that was timed.
     pub measure: Measure,
-    /// What came of it.
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// Answers of one cohort on one route.
+/// Number of answers, and of bad ones, of one cohort on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     answers: u32,
@@ -108,14 +110,14 @@
     }
 }
 
-/// Answers of both sides on one route.
+/// Tallies of both cohorts on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteTally {
     old: Tally,
     new: Tally,
 }
 
-/// How long answers of the other upstreams took together.
+/// Number and total time of answers of the old cohort.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct LatencySum {
     answers: u32,
@@ -134,11 +136,11 @@
     }
 }
 
-/// What was seen in a window.
+/// The requests and answers of one window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     requests: u32,
-    /// By a hash of the route's name.
+    /// Tallies by a hash of the route's name.
     routes: BTreeMap<u32, RouteTally>,
     times: BTreeMap<(u32, Measure), LatencySum>,
     bad_upstreams: BTreeSet<InstanceKey>,
@@ -158,17 +160,18 @@
         self.bad_upstreams.extend(&other.bad_upstreams);
     }
 
-    /// Answers of the new version.
+    /// Number of answers of the new version.
     pub fn new_answers(&self) -> u32 {
         self.routes.values().map(|tally| tally.new.answers).sum()
     }
 
-    /// Requests for the service in a second.
+    /// Mean rate of requests for the service.
     pub fn requests_per_s(&self) -> f64 {
         f64::from(self.requests) / WINDOW.as_secs_f64()
     }
 
-    /// Whether the version is bad, on one route or on all. `new_upstreams` is the number of its upstreams.
+    /// Returns a judgement if the new version is bad, on one route or on all together. `new_upstreams` is
+    /// the number of its upstreams.
     pub fn judge(&self, new_upstreams: usize) -> Option<Judgement> {
         if self.bad_upstreams.len() < BAD_UPSTREAMS_MIN.min(new_upstreams).max(1) {
             return None;
@@ -177,13 +180,13 @@
         most_significant.filter(|judgement| judgement.p_value < BAD_P_VALUE)
     }
 
-    /// Whether the version may be bad, by what was seen so far.
+    /// Whether the new version may be bad: its p-value is below the limit for doubt.
     pub fn is_in_doubt(&self) -> bool {
         let most_significant = self.most_significant();
         most_significant.is_some_and(|judgement| judgement.p_value < DOUBT_P_VALUE)
     }
 
-    /// Whether all routes that get a good part of the requests were tried.
+    /// Whether the new version has answered enough requests on all busy routes.
     pub fn has_covered_routes(&self) -> bool {
         let all = self.total();
         let share_min = f64::from(all.old.answers) * ROUTE_SHARE_MIN;
@@ -194,6 +197,7 @@
         busy.all(|tally| tally.new.answers >= ROUTE_ANSWERS_MIN)
     }
 
+    /// The tallies of all routes together.
     fn total(&self) -> RouteTally {
         let mut all = RouteTally::default();
         for tally in self.routes.values() {
@@ -203,7 +207,7 @@
         all
     }
 
-    /// What would come by chance most rarely, on one route or on all.
+    /// The judgement with the lowest p-value, of each route and of all together.
     fn most_significant(&self) -> Option<Judgement> {
         let all = self.total();
         let tallies = self.routes.values().chain([&all]);
@@ -213,6 +217,7 @@
     }
 }
 
+/// Tests the new cohort's bad answers against the rate of the old cohort.
 fn judge_tally(tally: &RouteTally) -> Judgement {
     let RouteTally { old, new } = *tally;
     let baseline_bad = f64::from(old.bad) + 1.0;
@@ -223,7 +228,7 @@
     Judgement { old, new, p_value }
 }
 
-/// The chance of at least `successes` in `trials`, each with the chance `p`.
+/// Probability of at least `successes` in `trials` independent trials with probability `p` each.
 fn binomial_tail(successes: u32, trials: u32, p: f64) -> f64 {
     if successes == 0 || p >= 1.0 {
         return 1.0;
@@ -239,7 +244,7 @@
     (1.0_f64 - below).max(0.0)
 }
 
-/// Why a version is bad.
+/// Tallies of both cohorts, and the p-value of the new cohort's bad answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Judgement {
     old: Tally,
@@ -251,26 +256,26 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} of {} answers of the version are bad, {} of {} of the others",
+            "{} of {} answers of the new version are bad, {} of {} of the others",
             self.new.bad, self.new.answers, self.old.bad, self.old.answers
         )
     }
 }
 
-/// What a host tells of one order.
+/// The evidence on one order that a host announces to its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncedEvidence {
     /// The position of the order's record.
     pub ordered_at: Position,
-    /// What it saw.
+    /// The requests and answers of the window.
     pub evidence: Evidence,
 }
 
-/// What this host saw of one order.
+/// This host's own evidence on one order.
 #[derive(Debug, Default)]
 struct OrderEvidence {
     buckets: VecDeque<(Time, Evidence)>,
-    /// Of all hosts, as of when they were last looked at together.
+    /// Answer times of the old cohort at all hosts, as of the last [`EvidenceStore::combine`].
     baseline: BTreeMap<(u32, Measure), LatencySum>,
 }
 
@@ -287,7 +292,7 @@
                 self.buckets.pop_front();
             }
         }
-        let (_, evidence) = self.buckets.back_mut().expect("one was just added");
+        let (_, evidence) = self.buckets.back_mut().expect("a bucket was just added");
         evidence
     }
 
@@ -301,7 +306,7 @@
     }
 }
 
-/// What this host saw of each order, and what others tell.
+/// The evidence on all orders: this host's own, and what peers announced.
 #[derive(Debug, Default)]
 pub struct EvidenceStore {
     local: BTreeMap<Position, OrderEvidence>,
@@ -309,12 +314,12 @@
 }
 
 impl EvidenceStore {
-    /// A request for the order's service arrived.
+    /// Records that a request for the order's service arrived.
     pub fn record_request(&mut self, now: Time, order: Position) {
         self.local.entry(order).or_default().bucket(now).requests += 1;
     }
 
-    /// A request for the order's service was answered.
+    /// Records an answer to a request for the order's service.
     pub fn record_answer(&mut self, now: Time, order: Position, answer: &Answer<'_>) {
         let observed = self.local.entry(order).or_default();
         let route = xxh3_64(answer.route.as_bytes()) as u32;
@@ -347,7 +352,7 @@
         }
     }
 
-    /// What this host saw, for others.
+    /// Returns this host's own evidence, to be announced to its peers.
     pub fn announce_host(&self, now: Time) -> Vec<AnnouncedEvidence> {
         let local = self
             .local
@@ -359,7 +364,7 @@
         local.collect()
     }
 
-    /// What the hosts of this data centre saw, for others.
+    /// Returns the evidence of this data centre's hosts, to be announced to other data centres.
     pub fn announce_data_centre(&self, now: Time) -> Vec<AnnouncedEvidence> {
         let is_host = |source: &Teller| matches!(source, Teller::Host(_));
         let local = self.local.keys().map(|order| AnnouncedEvidence {
@@ -369,12 +374,13 @@
         local.collect()
     }
 
-    /// Another host tells what it, or its data centre, saw.
+    /// Stores the evidence that a host or a data centre announced, in place of its previous one.
     pub fn receive(&mut self, now: Time, source: Teller, announced: Vec<AnnouncedEvidence>) {
         self.received.insert(source, (now, announced));
     }
 
-    /// What all hosts saw that are heard. From now on answers are slow beside the others of all these hosts.
+    /// Returns the evidence of this host and of all peers that were received lately. Their answer times of
+    /// the old cohort become the baseline for slow answers.
     pub fn combine(&mut self, now: Time, order: Position) -> Evidence {
         let all = self.sum(now, order, |_| true);
         if let Some(observed) = self.local.get_mut(&order) {
@@ -398,7 +404,7 @@
         sum
     }
 
-    /// Forgets all orders but those that `is_open` names.
+    /// Drops expired evidence of peers, and this host's own on orders that are not open.
     pub fn retain(&mut self, now: Time, is_open: impl Fn(Position) -> bool) {
         self.local.retain(|order, _| is_open(*order));
         self.received
@@ -406,7 +412,7 @@
     }
 }
 
-/// Datagrams have room for a few names.
+/// Limits the upstreams that an announcement names, as datagrams have little room.
 fn truncate_upstreams(mut evidence: Evidence) -> Evidence {
     while evidence.bad_upstreams.len() > BAD_UPSTREAMS_ANNOUNCED {
         evidence.bad_upstreams.pop_last();
