--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -160,7 +160,7 @@
         ToldTrials::OfDataCentre(told) => (ReportSource::DataCentre(data_centre.clone()), told),
     };
     if !told.is_empty() {
-        shared.rollout_evidence(|evidences| evidences.hear(now, teller, told));
+        shared.rollout_evidence(|evidences| evidences.receive(now, teller, told));
     }
 }
 
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -44,7 +44,7 @@
 use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
-use crate::gateway::rollouts::evidence::EvidenceBoard;
+use crate::gateway::rollouts::evidence::EvidenceStore;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::suspects::Suspects;
 use crate::gateway::suspension::SuspensionDetector;
@@ -95,7 +95,7 @@
     reported_loads: Mutex<ReportedLoads>,
     cold_budget: Mutex<ColdBudget>,
     suspects: Mutex<Suspects>,
-    evidence: Mutex<EvidenceBoard>,
+    evidence: Mutex<EvidenceStore>,
     suspension: Mutex<SuspensionDetector>,
     wakeups: watch::Sender<u64>,
     log_era: Mutex<Era>,
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -18,10 +18,10 @@
 use crate::gateway::rollouts::Track;
 use crate::gateway::rollouts::TrialBudget;
 use crate::gateway::rollouts::evidence::Answer;
-use crate::gateway::rollouts::evidence::EvidenceBoard;
+use crate::gateway::rollouts::evidence::Cohort;
+use crate::gateway::rollouts::evidence::EvidenceStore;
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
-use crate::gateway::rollouts::evidence::Side;
 use crate::gateway::serve::Admitted;
 use crate::id::ServiceId;
 use crate::id::VersionId;
@@ -50,7 +50,7 @@
     /// Runs `use_evidence` on the locked observations of versions on trial.
     pub(crate) fn rollout_evidence<T>(
         &self,
-        use_evidence: impl FnOnce(&mut EvidenceBoard) -> T,
+        use_evidence: impl FnOnce(&mut EvidenceStore) -> T,
     ) -> T {
         use_evidence(&mut lock(&self.0.evidence))
     }
@@ -135,7 +135,7 @@
             return Track::Stable;
         };
         let now = self.now();
-        self.rollout_evidence(|evidence| evidence.requested(now, order));
+        self.rollout_evidence(|evidence| evidence.record_request(now, order));
         let share = TrialBudget {
             bound: self.settings().exposure,
             hosts: self.sharing_hosts(),
@@ -158,27 +158,27 @@
     ) {
         let order_of = |directory: &mut Directory| {
             let rollout = directory.rollouts().get(&upstream.service)?;
-            let side = match upstream.version == *rollout.to() {
-                true => Side::New,
-                false => Side::Old,
+            let cohort = match upstream.version == *rollout.to() {
+                true => Cohort::New,
+                false => Cohort::Old,
             };
             rollout
                 .stage()
                 .is_open()
-                .then(|| (rollout.ordered_at(), side))
+                .then(|| (rollout.ordered_at(), cohort))
         };
-        let Some((order, side)) = self.directory(order_of) else {
+        let Some((order, cohort)) = self.directory(order_of) else {
             return;
         };
         let answer = Answer {
             route: &admitted.route.name,
             upstream: upstream.id.key(),
-            side,
+            cohort,
             measure,
             outcome,
         };
         let now = self.now();
-        self.rollout_evidence(|evidence| evidence.answered(now, order, &answer));
+        self.rollout_evidence(|evidence| evidence.record_answer(now, order, &answer));
     }
 
     /// The open orders, each with its next step.
@@ -188,7 +188,7 @@
         self.directory(|directory| {
             let open = directory.rollouts().open().map(|rollout| {
                 let order = rollout.ordered_at();
-                let evidence = self.rollout_evidence(|evidence| evidence.all(now, order));
+                let evidence = self.rollout_evidence(|evidence| evidence.combine(now, order));
                 let new = directory.count_of_version(rollout.service(), rollout.to());
                 let judgement = evidence.judge(new);
                 OpenRollout {
