--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -20,8 +20,8 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::rollouts::AnnouncedRollout;
-use crate::gateway::suspects::AnnouncedSuspect;
 use crate::gateway::rollouts::evidence::AnnouncedEvidence;
+use crate::gateway::suspects::AnnouncedSuspect;
 use crate::id::DataCentre;
 use crate::id::HostId;
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -232,7 +232,9 @@
         log_era: shared.log_era(),
         evacuations: shared.announced_evacuations(),
         rollouts: shared.announced_rollouts(),
-        evidence: ToldTrials::OfHost(shared.rollout_evidence(|evidences| evidences.announce_host(now))),
+        evidence: ToldTrials::OfHost(
+            shared.rollout_evidence(|evidences| evidences.announce_host(now)),
+        ),
         reading: shared.read_topics(),
         unreadable: shared.unreadable_topics(),
         peer_port: settings.peer_address.port(),
