--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -1,8 +1,10 @@
-//! Takes the steps of roll-outs that one host takes for all, and tells operators in the platform's log.
+//! Takes the rollout steps that one host takes for all, and reports them to operators in the platform's
+//! log.
 //!
-//! The hosts that read what operators publish may take a step; the first of them by rendezvous does, and the others only
-//! if it didn't. What operators are told is written under the condition that nothing was written since this host looked,
-//! so that an order ends once, however many hosts try.
+//! Only hosts that read the operators' topic take steps. The first of them in rendezvous order takes a
+//! step, and each further one only if the step is still due after a delay. A report is appended on
+//! condition that the status topic has not changed since this host read it, so that each order ends exactly
+//! once however many hosts attempt it.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -26,11 +28,11 @@
 use crate::gateway::shared::Shared;
 use crate::gateway::ticks::tick;
 
-/// How often it is looked whether a step is due.
+/// Interval between checks for due steps.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Hosts that read what operators publish have told them by then that an order is running.
+/// Age of an order by which a host that reads the operators' topic has reported it as running.
 const RUNNING_REPORT_DELAY: Duration = Duration::from_secs(3);
-/// A call that failed is made again after this time.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// A step that one host takes for all.
@@ -42,7 +44,7 @@
     Revert,
 }
 
-/// Takes steps for ever.
+/// Checks all open rollouts for due steps, and takes them. Never returns.
 pub async fn run(shared: Shared) {
     let mut reporter = StatusReporter {
         client: OwnClient::new(shared.settings().log_address),
@@ -60,7 +62,10 @@
         }
         for rollout in shared.open_rollouts() {
             if let Err(reason) = reporter.take_due_step(&rollout).await {
-                log::debug!("roll-out of {}: {reason:?}", rollout.service);
+                log::debug!(
+                    "step of the rollout of {} failed: {reason:?}",
+                    rollout.service
+                );
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
@@ -70,12 +75,14 @@
 struct StatusReporter {
     shared: Shared,
     client: OwnClient,
-    /// Orders of which operators were told that they are running, or more.
+    /// The state last known to be reported of each order.
     reported: BTreeMap<Position, RolloutState>,
+    /// When this host first found each step due.
     due_since: BTreeMap<(Position, Step), Instant>,
 }
 
 impl StatusReporter {
+    /// Takes the step that is due, once the hosts before this one have had time to take it.
     async fn take_due_step(&mut self, rollout: &OpenRollout) -> Result<(), Interrupted> {
         let step = match &rollout.due {
             _ if !self.reported.contains_key(&rollout.ordered_at) => Step::Begin,
@@ -92,7 +99,7 @@
         match step {
             Step::Begin => self.report(rollout, RolloutState::Running).await,
             Step::Shift => {
-                let reason = "it answers as the others do";
+                let reason = "its answers are like the others'";
                 self.shared.rollout_rises(rollout, Stage::Shift, reason);
                 Ok(())
             }
@@ -106,7 +113,8 @@
         }
     }
 
-    /// Tells operators that an order has come so far, unless they were told more.
+    /// Reports `state` to operators, unless the status topic already holds news of this order or a later
+    /// one.
     async fn report(
         &mut self,
         rollout: &OpenRollout,
@@ -129,7 +137,7 @@
             Reported::LaterOrder => return Ok(()),
             Reported::State(reported) => {
                 self.reported.insert(rollout.ordered_at, reported);
-                self.advance(rollout, reported, "operators were told");
+                self.advance(rollout, reported, "already reported to operators");
                 return Ok(());
             }
         }
@@ -157,11 +165,12 @@
             .write();
         if is_written {
             self.reported.insert(rollout.ordered_at, state);
-            self.advance(rollout, state, "told operators");
+            self.advance(rollout, state, "reported to operators");
         }
         Ok(())
     }
 
+    /// Moves the order to the stage that a reported state implies.
     fn advance(&self, rollout: &OpenRollout, state: RolloutState, reason: &str) {
         let stage = match state {
             RolloutState::Running => return,
@@ -172,18 +181,19 @@
     }
 }
 
-/// What operators were told last, as seen from one order.
+/// What the last report of a service says about one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reported {
-    /// Nothing of it that this host doesn't know.
+    /// Nothing that is new to this host.
     Nothing,
-    /// That it has come so far.
+    /// The order has reached this state.
     State(RolloutState),
-    /// Something of an order that replaces it.
+    /// The report is of a later order, which replaces this one.
     LaterOrder,
 }
 
-/// What `status` says of an order. `was_reported` tells whether this host knows that operators were told of it.
+/// Returns what `status` says about an order. `was_reported` says that this host knows of a report of the
+/// order.
 fn reported_state(rollout: &OpenRollout, status: &RolloutStatus, was_reported: bool) -> Reported {
     let is_new = status.state != RolloutState::Running || !was_reported;
     let era = rollout.ordered_at.era;
@@ -192,7 +202,8 @@
         Some(Ordering::Greater) => return Reported::LaterOrder,
         Some(Ordering::Equal) => true,
         Some(Ordering::Less) => false,
-        // A host that saw the order come knows that it has not ended until somebody says so of it.
+        // The report names no order of this era. If this host learnt of its order just after it was placed,
+        // a final state that it has not reported belongs to an earlier order to the same version.
         None => {
             let may_have_ended =
                 !rollout.is_dated || was_reported || rollout.age > RUNNING_REPORT_DELAY;
--- a/src/gateway/rolloutstatus/tests.rs
+++ b/src/gateway/rolloutstatus/tests.rs
@@ -15,7 +15,7 @@
     Position::new(Era::new(era), offset)
 }
 
-/// The order at offset 5, which this host saw come a moment ago.
+/// The order at offset 5, which this host learnt of just after it was placed.
 fn order() -> OpenRollout {
     OpenRollout {
         service: ServiceId::new("nets"),
@@ -35,7 +35,8 @@
     }
 }
 
-// A host that came to it late took the end of an order for that of an earlier one, and told operators again that it runs.
+// A host that checked late took the final state of an order for that of an earlier one, and reported the
+// order as running again.
 #[test]
 fn final_state_reported_by_another_host_belongs_to_this_order() {
     for state in [RolloutState::Reverted, RolloutState::Complete] {
