--- a/src/gateway/rollouts/evidence/tests.rs
+++ b/src/gateway/rollouts/evidence/tests.rs
@@ -23,7 +23,7 @@
     InstanceId::from(UpstreamId::new(format!("up-{index}"))).key()
 }
 
-/// Has `outcomes` come from so many upstreams in turn.
+/// Records answers with these outcomes, from this number of upstreams in turn.
 fn record_answers(
     store: &mut EvidenceStore,
     cohort: Cohort,
@@ -46,7 +46,7 @@
     Outcome::Took(Duration::from_millis(ms))
 }
 
-/// `bad` of `all` outcomes are failures.
+/// Returns `all` outcomes, of which the first `bad` are failures.
 fn with_failures(bad: usize, all: usize) -> Vec<Outcome> {
     let outcome = |index| {
         if index < bad {
@@ -58,7 +58,7 @@
     (0..all).map(outcome).collect()
 }
 
-/// Whether a version is judged bad whose answers are `new`, beside `old` ones.
+/// Whether a version with the outcomes `new` is judged bad beside others with the outcomes `old`.
 fn is_bad(old: &[Outcome], new: &[Outcome], new_upstreams: usize) -> bool {
     let mut store = EvidenceStore::default();
     record_answers(&mut store, Cohort::Old, 20, old);
@@ -87,7 +87,7 @@
     assert!(!is_bad(&old, &[took(80); 40], 4));
 }
 
-// One upstream that is ill would else have its version reverted.
+// Guards against a single faulty upstream getting its whole version reverted.
 #[test]
 fn bad_answers_of_one_upstream_do_not_make_its_version_bad() {
     let mut store = EvidenceStore::default();
--- a/src/gateway/rollouts/tests.rs
+++ b/src/gateway/rollouts/tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a host knows that has run for a minute and reads these orders, a second apart.
+/// The state of a host that has run for a minute and reads these orders, one second apart.
 fn with_orders(versions: &[&str]) -> Rollouts {
     let mut rollouts = Rollouts::default();
     for (index, version) in versions.iter().enumerate() {
@@ -60,7 +60,7 @@
     }
 }
 
-/// How many of `requests` at one host go to the version that is tried.
+/// Number of `requests` at one host that go to the version on trial.
 fn count_trials(rollouts: &mut Rollouts, requests: usize, budget: TrialBudget) -> usize {
     let now = Time::from_ms(62_000);
     let tracks = (0..requests).map(|_| rollouts.assign_track(now, &service(), budget, 0.5));
@@ -74,7 +74,8 @@
     assert_eq!(count_trials(&mut rollouts, 1_000, budget(25)), 51);
 }
 
-// A process that starts, again and again, would else give the version the slack anew each time.
+// Guards against a process that restarts repeatedly and gives the new version its part of the slack each
+// time.
 #[test]
 fn a_process_started_after_the_order_gets_no_slack() {
     let announced = with_orders(&["v2"]).announce(Time::from_ms(65_000));
@@ -106,7 +107,7 @@
     }
 }
 
-// The version of an order that a later one replaced was never shown to be good.
+// The version of an order that was replaced has never proved good.
 #[test]
 fn a_replaced_order_bars_its_version() {
     let rollouts = with_orders(&["v2", "v3"]);
--- a/src/gateway/rollouts/tests/model.rs
+++ b/src/gateway/rollouts/tests/model.rs
@@ -1,4 +1,4 @@
-//! Drawn roll-outs over fleets in virtual time, with hosts that are cut off and start again.
+//! Simulates random rollouts over fleets in virtual time, with hosts that are partitioned or restart.
 
 use std::time::Duration;
 
@@ -30,21 +30,21 @@
 
 const STEP_MS: u64 = 50;
 const GOSSIP_INTERVAL_MS: u64 = 250;
-/// Hosts have run for so long when the order comes.
+/// Uptime of the hosts when the order is placed.
 const ORDERED_AT_MS: u64 = 60_000;
 const ROUTES: [&str; 3] = ["drafts", "checks", "lookups"];
 const NEW_UPSTREAMS: usize = 9;
-/// A bad version gets nothing so long after its 50th bad answer.
+/// Time after the 50th bad answer within which a bad version has to stop getting requests.
 const REVERTED_WITHIN_MS: u64 = 5_000;
 
-/// How a version is.
+/// How the new version behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Behaviour {
     Good,
     Fails,
-    /// From this part of the order's time on.
+    /// Fails once this fraction of the order's duration has passed.
     FailsLater(f64),
-    /// Only on one route.
+    /// Fails on this route only.
     FailsOnRoute(usize),
     Slow,
 }
@@ -62,7 +62,7 @@
         now_ms < self.partitioned_until_ms
     }
 
-    /// The time since its process started, as its clock tells.
+    /// The host's own time, which starts with its process.
     fn clock(&self, now_ms: u64) -> Time {
         Time::from_ms(now_ms - self.started_ms)
     }
@@ -105,11 +105,11 @@
             reported: Vec::new(),
             revert_reasons: Vec::new(),
         };
-        simulation.order();
+        simulation.place_order();
         simulation
     }
 
-    fn order(&mut self) {
+    fn place_order(&mut self) {
         let record = RolloutRecord {
             order: Some(RolloutOrder {
                 to: VersionId::new("v2"),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Hosts are cut off, or start again, each every 20 s on average.
+    /// Partitions or restarts each host once in 20 s on average.
     fn inject_faults(&mut self) {
         for host in &mut self.hosts {
             if self.rng.random_bool(STEP_MS as f64 / 20_000.0) {
@@ -163,7 +163,7 @@
         let draw = self.rng.random();
         let (now_ms, host) = (self.now_ms, &mut self.hosts[index]);
         if !host.has_order() {
-            // It isn't ready before another host has told it what it knows.
+            // A restarted host is not ready before a peer has announced the order to it.
             return;
         }
         let now = host.clock(now_ms);
@@ -212,7 +212,8 @@
         }
     }
 
-    /// Answers take 60 ms, a few much longer; one of a hundred fails, on one route one of eight.
+    /// Draws the outcome of a request. Sound upstreams answer in about 60 ms and in 1% of cases five times
+    /// as late; 1% of their answers fail, on the last route 12%.
     fn outcome(&mut self, cohort: Cohort, route: usize) -> Outcome {
         let since_ms = (self.now_ms - ORDERED_AT_MS) as f64;
         let elapsed_fraction = since_ms / self.duration.as_millis() as f64;
@@ -241,7 +242,7 @@
         Outcome::Took(Duration::from_secs_f64(ms / 1_000.0))
     }
 
-    /// Each host that isn't cut off tells all others; one datagram of ten is lost.
+    /// Each host that isn't partitioned sends to all others; 10% of the datagrams are lost.
     fn gossip(&mut self) {
         let now_ms = self.now_ms;
         let senders = self
@@ -275,7 +276,8 @@
         }
     }
 
-    /// Each host judges for itself; the first that is not cut off takes the steps that one takes for all.
+    /// Each host judges by itself; the first that isn't partitioned takes the steps that one host takes for
+    /// all.
     fn review(&mut self) {
         let now_ms = self.now_ms;
         let coordinator = self
@@ -338,7 +340,8 @@
     simulation
 }
 
-// A version got its part of all requests from its start on, bad or good.
+// Guards against a new version getting its full part of all requests as soon as its upstreams start, bad or
+// good.
 #[test]
 fn bad_versions_stay_within_the_exposure_bound_and_good_ones_complete_in_time() {
     for seed in 0..100 {
@@ -366,7 +369,7 @@
             );
             assert!(
                 f64::from(exposed_requests) <= bound_requests,
-                "seed {seed}: {exposed_requests} of {bound_requests}"
+                "seed {seed}: {exposed_requests} requests, at most {bound_requests} allowed"
             );
             assert_eq!(simulation.late_requests, 0, "seed {seed}: {behaviour:?}");
         }
--- a/src/gateway/rolloutstatus/tests.rs
+++ b/src/gateway/rolloutstatus/tests.rs
@@ -35,8 +35,8 @@
     }
 }
 
-// A host that checked late took the final state of an order for that of an earlier one, and reported the
-// order as running again.
+// Guards against a host that checks late, takes the final state of this order for that of an earlier one,
+// and reports the order as running again.
 #[test]
 fn final_state_reported_by_another_host_belongs_to_this_order() {
     for state in [RolloutState::Reverted, RolloutState::Complete] {
--- a/tests/rollouts/mod.rs
+++ b/tests/rollouts/mod.rs
@@ -1,4 +1,4 @@
-//! Operators roll a version out: a bad one is reverted, a good one takes over.
+//! Rollouts from end to end: a bad version is reverted, a good one takes over.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,7 +17,7 @@
 use crate::get;
 
 const DURATION: Duration = Duration::from_secs(4);
-/// What a bad version may get beside a tenth of all requests.
+/// Requests that a bad version may get on top of a tenth of all requests.
 const SLACK: usize = 50;
 
 struct Deployment {
@@ -27,7 +27,7 @@
 }
 
 impl Deployment {
-    /// Three upstreams of the version `v1`, and three of `v2` that behave like this.
+    /// Starts three hosts, three sound upstreams of version `v1`, and three of `v2` that behave like `new`.
     fn start(new: &Behaviour) -> Self {
         let hosts = World::start_fleet(3);
         let sound = Behaviour::Answer(200, "sound");
@@ -55,7 +55,7 @@
         &self.hosts[0].log
     }
 
-    /// Orders the version, whose upstreams then list themselves.
+    /// Orders the new version, then lists its upstreams.
     fn order(&self) {
         let order = json!({"to": "v2", "duration_ms": DURATION.as_millis() as u64});
         self.log().put("operator", "rollout/nets", &order);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sends requests until operators are told the end, or the time is up.
+    /// Sends requests until the end of the rollout is reported or its time is up.
     fn request_until_ended(&mut self) {
         let deadline = Instant::now() + DURATION;
         while Instant::now() < deadline && self.reported_states().len() < 2 {
@@ -93,7 +93,8 @@
     }
 }
 
-// Upstreams of a version that nobody had tried got their part of all requests from their start on.
+// Guards against upstreams of a version that hasn't been tried getting their full part of all requests as
+// soon as they start.
 #[test]
 fn a_bad_version_is_reverted_before_it_gets_much() {
     let mut deployment = Deployment::start(&Behaviour::Answer(500, "broken"));
@@ -106,7 +107,7 @@
     assert_eq!(deployment.reported_states(), ["running", "reverted"]);
     assert!(
         seen <= deployment.requests_sent / 10 + SLACK,
-        "{seen} of {}",
+        "the bad version got {seen} of {} requests",
         deployment.requests_sent
     );
     assert_eq!(deployment.requests_to_new(), seen);
@@ -126,7 +127,8 @@
     assert_eq!(deployment.requests_to_new() - before, 60);
 }
 
-// A host that looked only after another had told the end told operators again that the order runs.
+// Guards against a host that reads an order after another host has reported its end, and then reports the
+// order as running again.
 #[test]
 fn a_late_host_does_not_report_an_ended_order_again() {
     let deployment = Deployment::start(&Behaviour::Answer(200, "new"));
