--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -2,10 +2,10 @@
 //!
 //! A new version may be bad at once, later, under load or on one route only, and hundreds of hosts may
 //! learn of that late or not at all. During the trial each host therefore sends the new version a small
-//! share of its own requests. These shares add up to the exposure bound without coordination,
-//! also across partitions and restarts. The answers of both versions over the same time decide whether the
-//! new one is good ([`evidence`]). Before a rollout completes, all new work goes to the new version for a
-//! short time, so that the old version is idle when the platform stops it.
+//! share of its own requests. These shares stay within the exposure bound without coordination, also across
+//! partitions and restarts. The answers of both versions over the same time decide whether the new one is
+//! good ([`evidence`]). Before a rollout completes, all new work goes to the new version for a short time, so
+//! that the old version is idle when the platform stops it.
 //!
 //! An order is identified by the position of its record in the log: a later order replaces an earlier one.
 //! The stage of an order never moves back, so announcements of peers merge to the same result in any order.
@@ -366,7 +366,8 @@
                     DueStep::Nothing
                 } else {
                     DueStep::GiveUp(format!(
-                        "not proved good near the deadline: {answers} answers from {new_upstreams} upstreams"
+                        "not proved good near the deadline: \
+                         {answers} answers from {new_upstreams} upstreams"
                     ))
                 }
             }
