--- a/benches/slopes/fleet.rs
+++ b/benches/slopes/fleet.rs
@@ -41,7 +41,7 @@
                 // Each host of a data centre is heard 83 times a second in all, at any number of them.
                 let now = Time::from_ms(1 + 12 * index as u64);
                 let from = index % hosts;
-                peers.hear(now, address(from), &datagrams[from]);
+                peers.receive(now, address(from), &datagrams[from]);
                 peers.is_reader(now, &own, &place(0), Topic::Operator)
             })
         },
@@ -86,7 +86,7 @@
     let own = SocketAddr::from(([10, 9, 9, 9], 7_200));
     let mut peers = Peers::new(own, place(0), &[]);
     for index in 0..hosts {
-        peers.hear(Time::ZERO, address(index), &datagram(index));
+        peers.receive(Time::ZERO, address(index), &datagram(index));
     }
     peers
 }
--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -46,7 +46,7 @@
     };
     let settings = shared.settings();
     let now = shared.now();
-    let hosts = shared.peers(|peers| peers.live_near(now));
+    let hosts = shared.peers(|peers| peers.live_local(now));
     let ready = shared.directory(|directory| directory.all_ready());
     ready
         .into_iter()
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -204,7 +204,7 @@
         let now = self.shared.now();
         let hears_holder = self
             .shared
-            .peers(|peers| peers.hears_holder(now, self.topic));
+            .peers(|peers| peers.has_live_holder(now, self.topic));
         hears_holder && self.is_younger_than(SERVED_WAIT)
     }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -114,7 +114,7 @@
 /// How long a host of a large data centre lets datagrams gather: each would else wake it, a hundred times a second.
 fn receive_pause(shared: &Shared) -> Duration {
     let now = shared.now();
-    let near = shared.peers(|peers| peers.count_near(now));
+    let near = shared.peers(|peers| peers.count_local(now));
     let many = u32::try_from(near.saturating_sub(GATHERED_FROM)).unwrap_or(u32::MAX);
     GATHERED_PER_HOST.saturating_mul(many).min(GATHERED_MAX)
 }
@@ -172,7 +172,7 @@
 /// Between two rounds that tell everything.
 fn full_interval(shared: &Shared) -> Duration {
     let now = shared.now();
-    interval_among(shared.peers(|peers| peers.count_near(now)))
+    interval_among(shared.peers(|peers| peers.count_local(now)))
 }
 
 /// Between two rounds to so many hosts of the own data centre.
@@ -186,12 +186,12 @@
     let is_small = shared.is_small_fleet();
     let recipients = match is_small {
         true => Recipients::All,
-        false => Recipients::Near,
+        false => Recipients::Local,
     };
     let (unheard, heard) = shared.peers(|peers| {
-        peers.count(now);
+        peers.update_size(now);
         let targets = peers.targets(now, recipients).into_iter();
-        targets.partition::<Vec<_>, _>(|target| peers.is_unheard(target))
+        targets.partition::<Vec<_>, _>(|target| peers.is_unconfirmed(target))
     });
     let mut datagram = own_datagram(shared, now);
     if spread::is_much(shared, &datagram.changes) {
@@ -242,11 +242,11 @@
         moving: shared.turns().with(|turns| turns.pending()),
         unreachable: shared.unreachable_upstreams(),
         suspects: shared.suspects(|suspects| suspects.announce(now)),
-        hosts: shared.peers(|peers| peers.some(now)),
+        hosts: shared.peers(|peers| peers.announced_hosts(now)),
         lacks_hosts: shared.peers(|peers| peers.lacks_hosts()),
-        hears: told_count(shared.peers(|peers| peers.live(now))),
-        hears_near: told_count(shared.peers(|peers| peers.count_near(now))),
-        counted: told_count(shared.peers(|peers| peers.counted(now))),
+        hears: told_count(shared.peers(|peers| peers.count_live(now))),
+        hears_near: told_count(shared.peers(|peers| peers.count_local(now))),
+        counted: told_count(shared.peers(|peers| peers.counted_max(now))),
         stopping: shared.gate().is_shutting_down(),
         ..Datagram::of(settings.host.clone(), settings.data_centre.clone())
     };
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -125,30 +125,30 @@
 ) {
     let now = shared.now();
     if far.tells_turns(!datagram.moving.is_empty()) {
-        let targets = shared.peers(|peers| peers.all_outside());
+        let targets = shared.peers(|peers| peers.remote_hosts());
         send(socket, &encode(datagram.of_turns_only()), &targets).await;
     }
     // A repeat may go to any host next, and what a host tells its own data centre first is heard in
     // others 1.8 s later.
     let suspects = far.new_suspects(shared, now);
     if !suspects.is_empty() {
-        let all = shared.peers(|peers| peers.all_outside());
+        let all = shared.peers(|peers| peers.remote_hosts());
         send(socket, &encode(datagram.of_suspects_only(suspects)), &all).await;
     }
     if far.tells_rollouts(shared) {
-        let all = shared.peers(|peers| peers.all_outside());
+        let all = shared.peers(|peers| peers.remote_hosts());
         send(socket, &encode(datagram.of_turns_only()), &all).await;
     }
     if far.is_due_of_reader(shared, now, datagram) {
-        let all = shared.peers(|peers| peers.all_outside());
+        let all = shared.peers(|peers| peers.remote_hosts());
         send_parts(socket, datagram.of_the_log_only(), &all).await;
     }
     for (data_centre, loads) in far.visits_due(shared, now) {
-        let visited = shared.peers(|peers| peers.hosts_visited(&data_centre));
+        let visited = shared.peers(|peers| peers.load_recipients(&data_centre));
         send(socket, &encode(datagram.of_visitor(loads)), &visited).await;
     }
     if far.is_due(now) {
-        let partners = shared.peers(|peers| peers.far_partners(now));
+        let partners = shared.peers(|peers| peers.remote_partners(now));
         for (data_centre, partners) in partners {
             let loads = shared.local_loads(&data_centre);
             let evidence = shared.rollout_evidence(|evidences| evidences.announce_data_centre(now));
@@ -167,7 +167,7 @@
     }
     let asking = encode(own_datagram(shared, now).that_asks());
     for data_centre in data_centres {
-        let asked = shared.peers(|peers| peers.hosts_asked(now, &data_centre));
+        let asked = shared.peers(|peers| peers.query_targets(now, &data_centre));
         send(socket, &asking, &asked).await;
     }
 }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -20,7 +20,7 @@
 use crate::gateway::directory::Change;
 use crate::gateway::loads::ReportSource;
 use crate::gateway::peerfetch;
-use crate::gateway::peers::Acquaintance;
+use crate::gateway::peers::SenderStatus;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::ChangeSource;
@@ -58,8 +58,8 @@
         }
     };
     let now = shared.now();
-    let acquaintance = shared.peers(|peers| peers.hear(now, from, &datagram));
-    if acquaintance.is_news {
+    let sender = shared.peers(|peers| peers.receive(now, from, &datagram));
+    if sender.has_joined {
         let line = shared.log().line(EventCode::PeerJoined);
         line.with("peer", datagram.host.as_str())
             .with("address", from.to_string())
@@ -103,8 +103,8 @@
         let loads = shared.local_loads(&data_centre);
         return Some(own_datagram(shared, now).that_answers(loads));
     }
-    let lacks_hosts = acquaintance.lacks_hosts;
-    lacks_hosts.then(|| answer(shared, now, &data_centre, acquaintance))
+    let lacks_hosts = sender.lacks_hosts;
+    lacks_hosts.then(|| answer(shared, now, &data_centre, sender))
 }
 
 /// Takes changes that came over others, and passes on what was new.
@@ -166,17 +166,12 @@
 
 /// What a host of `data_centre` that was not known is told at once: who reads the log, some hosts of the
 /// other data centres, and, if it has just started, those of its own.
-fn answer(
-    shared: &Shared,
-    now: Time,
-    data_centre: &DataCentre,
-    acquaintance: Acquaintance,
-) -> Datagram {
+fn answer(shared: &Shared, now: Time, data_centre: &DataCentre, sender: SenderStatus) -> Datagram {
     let mut datagram = own_datagram(shared, now).of_the_log_only();
     shared.peers(|peers| {
         datagram.introduced = peers.introductions(now, data_centre);
-        if acquaintance.has_started {
-            datagram.hosts = peers.neighbours_of(now, data_centre);
+        if sender.is_newcomer {
+            datagram.hosts = peers.bootstrap_hosts(now, data_centre);
         }
     });
     datagram
@@ -226,7 +221,7 @@
         spread.min(LISTENER_SPREAD_MAX).mul_f64(rand::random())
     } else {
         let now = shared.now();
-        let near = shared.peers(|peers| peers.count_near(now));
+        let near = shared.peers(|peers| peers.count_local(now));
         let spread = START_SPREAD_PER_HOST * u32::try_from(near).unwrap_or(u32::MAX);
         spread.mul_f64(rand::random())
     }
--- a/src/gateway/gossip/spread.rs
+++ b/src/gateway/gossip/spread.rs
@@ -110,7 +110,7 @@
     let Some(hops_left) = told.hops_left.checked_sub(1) else {
         return;
     };
-    let behind = shared.peers(|peers| peers.behind(now, told.root));
+    let behind = shared.peers(|peers| peers.relay_children(now, told.root));
     let told = ToldChanges {
         hops_left,
         ..told.clone()
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -169,7 +169,8 @@
             let port = self.shared.gossip_address().port();
             let seeds = settings.seeds.iter();
             let addresses = seeds.map(|seed| SocketAddr::new(seed.ip(), port));
-            self.shared.peers(|peers| peers.learn(now, addresses));
+            self.shared
+                .peers(|peers| peers.add_addresses(now, addresses));
         }
     }
 
--- a/src/gateway/hostlisting.rs
+++ b/src/gateway/hostlisting.rs
@@ -64,7 +64,7 @@
             let listed = records.iter().filter(|record| record.value.is_some());
             let addresses = listed.filter_map(|record| record.key.parse().ok());
             let now = shared.now();
-            shared.peers(|peers| peers.learn(now, addresses));
+            shared.peers(|peers| peers.add_addresses(now, addresses));
         }
         Err(error) => log::debug!("the list of hosts: {error:?}"),
     }
--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -95,7 +95,11 @@
 fn hears_all(shared: &Shared) -> bool {
     let now = shared.now();
     let topics = [Topic::Operator, Topic::Upstreams];
-    shared.peers(|peers| topics.iter().all(|topic| peers.hears_holder(now, *topic)))
+    shared.peers(|peers| {
+        topics
+            .iter()
+            .all(|topic| peers.has_live_holder(now, *topic))
+    })
 }
 
 async fn reach(seeds: &[SocketAddr]) -> Seeds {
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -259,7 +259,7 @@
     let now = shared.now();
     match fetched {
         Ok(Outcome::Busy) => {
-            let rivals = shared.peers(|peers| peers.count_near(now)) / holders.max(1);
+            let rivals = shared.peers(|peers| peers.count_local(now)) / holders.max(1);
             shared.list_catch_up(|catch_up| {
                 catch_up.was_busy(now, source.address, rivals, rand::random());
             });
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -37,7 +37,7 @@
 use self::census::Census;
 use self::fleetsize::FleetSize;
 #[cfg(test)]
-pub(crate) use self::partners::FAR_PARTNERS;
+pub(crate) use self::partners::REMOTE_PARTNERS;
 pub use self::partners::Recipients;
 
 /// What a host fetches from peers. A long transfer of one doesn't hold up the other.
@@ -102,13 +102,13 @@
 
 /// What a datagram shows of its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Acquaintance {
+pub struct SenderStatus {
     /// A host of the own data centre, or its whole data centre, is new or back.
-    pub is_news: bool,
+    pub has_joined: bool,
     /// It was not known, and may not know this host.
-    pub is_stranger: bool,
+    pub is_unknown: bool,
     /// It was not known, and knows less than half of the hosts that this one knows.
-    pub has_started: bool,
+    pub is_newcomer: bool,
     /// It was not known, and lacks hosts that this one can tell it of.
     pub lacks_hosts: bool,
 }
@@ -165,7 +165,7 @@
     }
 
     /// Addresses of hosts, by hearsay.
-    pub fn learn(&mut self, now: Time, addresses: impl IntoIterator<Item = SocketAddr>) {
+    pub fn add_addresses(&mut self, now: Time, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if address == self.own {
                 continue;
@@ -178,7 +178,7 @@
     }
 
     /// A datagram came from `address`.
-    pub fn hear(&mut self, now: Time, address: SocketAddr, datagram: &Datagram) -> Acquaintance {
+    pub fn receive(&mut self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
         let acquaintance = self.acquaint(now, address, datagram);
         let is_near = datagram.data_centre == self.data_centre;
         let others = usize::try_from(datagram.hears_near).unwrap_or(usize::MAX);
@@ -192,11 +192,11 @@
         self.enter(now, address, Heard::of(now, address, datagram));
         if is_near || !self.knows_enough_in(&datagram.data_centre) {
             let hosts = datagram.hosts.iter().copied();
-            self.learn(now, hosts.filter(|host| host.port() == address.port()));
+            self.add_addresses(now, hosts.filter(|host| host.port() == address.port()));
         }
         for (data_centre, host) in &datagram.introduced {
             if *data_centre != self.data_centre && !self.knows_enough_in(data_centre) {
-                self.learn(now, [*host]);
+                self.add_addresses(now, [*host]);
             }
         }
         acquaintance
@@ -265,7 +265,7 @@
     }
 
     /// What a datagram shows of its sender, before it is taken.
-    fn acquaint(&self, now: Time, address: SocketAddr, datagram: &Datagram) -> Acquaintance {
+    fn acquaint(&self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
         let known = self.peers.get(&address);
         let known = known.and_then(|peer| peer.heard.as_ref());
         let is_near = datagram.data_centre == self.data_centre;
@@ -274,15 +274,15 @@
             false => self.words.get(&datagram.data_centre).map(|word| word.at),
         };
         let hears = usize::try_from(datagram.hears).unwrap_or(usize::MAX);
-        let is_stranger = known.is_none();
-        let has_started = is_stranger && hears.saturating_mul(2) < self.live(now);
+        let is_unknown = known.is_none();
+        let is_newcomer = is_unknown && hears.saturating_mul(2) < self.count_live(now);
         // Near ones hear each other all the same.
-        let lacks_far_hosts = is_stranger && !is_near && datagram.lacks_hosts;
-        Acquaintance {
-            is_news: last.is_none_or(|at| now.since(at) > LIVE_FOR),
-            is_stranger,
-            has_started,
-            lacks_hosts: has_started || lacks_far_hosts,
+        let lacks_far_hosts = is_unknown && !is_near && datagram.lacks_hosts;
+        SenderStatus {
+            has_joined: last.is_none_or(|at| now.since(at) > LIVE_FOR),
+            is_unknown,
+            is_newcomer,
+            lacks_hosts: is_newcomer || lacks_far_hosts,
         }
     }
 
@@ -316,12 +316,12 @@
     }
 
     /// For how long no host of another data centre was heard; none if none ever was.
-    pub(crate) fn silence_outside(&self, now: Time) -> Option<Duration> {
+    pub(crate) fn remote_silence(&self, now: Time) -> Option<Duration> {
         self.silences_outside(now).min()
     }
 
     /// For how long the most silent of the other data centres was not heard; none if there is none.
-    pub(crate) fn longest_silence_outside(&self, now: Time) -> Option<Duration> {
+    pub(crate) fn longest_remote_silence(&self, now: Time) -> Option<Duration> {
         self.silences_outside(now).max()
     }
 
@@ -332,7 +332,7 @@
     }
 
     /// The live hosts of the own data centre.
-    pub(crate) fn live_near(&self, now: Time) -> Vec<HostId> {
+    pub(crate) fn live_local(&self, now: Time) -> Vec<HostId> {
         let live = self.live_hosts_in(now, &self.data_centre);
         live.map(|heard| heard.host.clone()).collect()
     }
@@ -348,7 +348,7 @@
     /// of those heard of late, and the same host of it, for all who hear the same.
     pub(crate) fn is_chosen(&self, now: Time, host: &HostId, what: &str) -> bool {
         let data_centres = self.heard_data_centres(now).map(DataCentre::as_str);
-        let near = self.live_near(now);
+        let near = self.live_local(now);
         let hosts = near.iter().map(HostId::as_str);
         rendezvous::is_first(self.data_centre.as_str(), data_centres, what)
             && rendezvous::is_first(host.as_str(), hosts, what)
@@ -357,7 +357,7 @@
     /// How many hosts come before `host`, this one, in doing what `what` names: of a small fleet all, else one of each data
     /// centre.
     pub(crate) fn rank(&self, now: Time, host: &HostId, what: &str) -> usize {
-        if self.is_small(now) {
+        if self.is_small_fleet(now) {
             let others = self.live_hosts(now).map(|heard| heard.host.as_str());
             return rendezvous::count_before(host.as_str(), others, what);
         }
@@ -366,7 +366,7 @@
     }
 
     /// Number of the live hosts of the own data centre.
-    pub(crate) fn count_near(&self, now: Time) -> usize {
+    pub(crate) fn count_local(&self, now: Time) -> usize {
         self.census(now, |census| census.heard_in(&self.data_centre))
     }
 
@@ -405,7 +405,7 @@
     }
 
     /// Whether a live host knows what a topic of the log tells.
-    pub(crate) fn hears_holder(&self, now: Time, topic: Topic) -> bool {
+    pub(crate) fn has_live_holder(&self, now: Time, topic: Topic) -> bool {
         self.census(now, |census| match topic {
             Topic::Operator => census.newest_version > 0,
             Topic::Upstreams => census.knows_upstreams,
@@ -420,7 +420,7 @@
 
     /// Number of other hosts that are live and not stopping: of each data centre those heard of late, or
     /// as many as the last one heard there knows.
-    pub fn live(&self, now: Time) -> usize {
+    pub fn count_live(&self, now: Time) -> usize {
         self.census(now, |census| {
             let fresh = |word: &&DataCentreWord| now.since(word.at) < LIVE_FOR;
             let told = |data_centre: &DataCentre| {
@@ -436,26 +436,26 @@
     }
 
     /// The most live hosts that this one counts, or another one tells that it hears.
-    pub(crate) fn told(&self, now: Time) -> u32 {
-        let live = u32::try_from(self.live(now)).unwrap_or(u32::MAX);
+    pub(crate) fn live_max(&self, now: Time) -> u32 {
+        let live = u32::try_from(self.count_live(now)).unwrap_or(u32::MAX);
         self.census(now, |census| census.hears_most).max(live)
     }
 
     /// Counts the live hosts; to be called in each round.
-    pub(crate) fn count(&mut self, now: Time) {
-        let live = self.live(now) + 1;
+    pub(crate) fn update_size(&mut self, now: Time) {
+        let live = self.count_live(now) + 1;
         self.size.count(now, live);
     }
 
     /// The most hosts that this one has counted of late, itself included.
-    pub(crate) fn counted(&self, now: Time) -> usize {
+    pub(crate) fn counted_max(&self, now: Time) -> usize {
         self.size.counted(now)
     }
 
     /// The hosts among which bounds of the fleet are divided: the most that are known to have been live of late, and at least
     /// the seeds.
-    pub(crate) fn sharing(&self, now: Time) -> usize {
-        let others = self.live(now).max(self.seeds.len());
+    pub(crate) fn sharing_hosts(&self, now: Time) -> usize {
+        let others = self.count_live(now).max(self.seeds.len());
         self.size.most(now).max(others + 1)
     }
 
--- a/src/gateway/peers/partners.rs
+++ b/src/gateway/peers/partners.rs
@@ -18,7 +18,7 @@
 /// Hosts of each other data centre that a host of a large fleet tells in one of its rounds. All hosts of
 /// a data centre do, so that each host hears about as many of it: no word within [`LIVE_FOR`], two
 /// rounds and more, is one case in a thousand where as many hosts tell as listen.
-pub(crate) const FAR_PARTNERS: usize = 3;
+pub(crate) const REMOTE_PARTNERS: usize = 3;
 
 /// Hosts of a data centre that one which runs work there tells of it, at most.
 const VISITED_MAX: usize = 24;
@@ -36,7 +36,7 @@
     /// All.
     All,
     /// Those of the own data centre.
-    Near,
+    Local,
 }
 
 impl Peers {
@@ -45,7 +45,7 @@
     pub fn targets(&mut self, now: Time, recipients: Recipients) -> Vec<SocketAddr> {
         self.forget_silent(now);
         let is_meant = |peer: &Peer| match (recipients, &peer.heard) {
-            (Recipients::Near, Some(heard)) => heard.data_centre == self.data_centre,
+            (Recipients::Local, Some(heard)) => heard.data_centre == self.data_centre,
             (Recipients::All, _) | (_, None) => true,
         };
         let chosen = self.peers.iter().filter(|(_, peer)| is_meant(peer));
@@ -59,7 +59,7 @@
     }
 
     /// Whether a host is known by its address alone.
-    pub(crate) fn is_unheard(&self, address: &SocketAddr) -> bool {
+    pub(crate) fn is_unconfirmed(&self, address: &SocketAddr) -> bool {
         self.heard(address).is_none()
     }
 
@@ -76,14 +76,14 @@
     }
 
     /// Hosts of another data centre that are told what is run there: all that are known, up to a bound.
-    pub(crate) fn hosts_visited(&mut self, data_centre: &DataCentre) -> Vec<SocketAddr> {
+    pub(crate) fn load_recipients(&mut self, data_centre: &DataCentre) -> Vec<SocketAddr> {
         self.far_turn = self.far_turn.wrapping_add(1);
         let known: Vec<SocketAddr> = self.known_in(data_centre).collect();
         in_turn(&known, self.far_turn, VISITED_MAX)
     }
 
     /// A few live hosts of another data centre that are asked what runs there.
-    pub(crate) fn hosts_asked(&mut self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
+    pub(crate) fn query_targets(&mut self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         self.far_turn = self.far_turn.wrapping_add(ASKED);
         in_turn(&self.live_in(now, data_centre), self.far_turn, ASKED)
     }
@@ -96,7 +96,7 @@
     }
 
     /// All known hosts of other data centres.
-    pub(crate) fn all_outside(&self) -> Vec<SocketAddr> {
+    pub(crate) fn remote_hosts(&self) -> Vec<SocketAddr> {
         self.other_data_centres()
             .flat_map(|data_centre| self.known_in(data_centre))
             .collect()
@@ -104,11 +104,11 @@
 
     /// Whom a host of a large fleet tells of its data centre in this round: some hosts of each other one
     /// in turn, and those that read the upstreams for all, who must know whom to tell.
-    pub(crate) fn far_partners(&mut self, now: Time) -> BTreeMap<DataCentre, Vec<SocketAddr>> {
+    pub(crate) fn remote_partners(&mut self, now: Time) -> BTreeMap<DataCentre, Vec<SocketAddr>> {
         let readers = self.readers_for_all(now);
         let partners_in = |data_centre: &DataCentre| {
             let known = self.partners_in(now, data_centre);
-            let mut partners = in_turn(&known, self.far_turn, FAR_PARTNERS);
+            let mut partners = in_turn(&known, self.far_turn, REMOTE_PARTNERS);
             let readers = readers.iter().filter(|reader| known.contains(reader));
             partners.extend(readers);
             partners.sort();
@@ -116,7 +116,7 @@
             (data_centre.clone(), partners)
         };
         let partners = self.other_data_centres().map(partners_in).collect();
-        self.far_turn = self.far_turn.wrapping_add(FAR_PARTNERS);
+        self.far_turn = self.far_turn.wrapping_add(REMOTE_PARTNERS);
         partners
     }
 
@@ -127,7 +127,7 @@
         let is_heard =
             |address: &&SocketAddr| heard_at(address).is_some_and(|at| now.since(at) < TRIED_FOR);
         let heard: Vec<SocketAddr> = known.iter().filter(is_heard).copied().collect();
-        match heard.len() < FAR_PARTNERS {
+        match heard.len() < REMOTE_PARTNERS {
             true => known,
             false => heard,
         }
@@ -148,7 +148,7 @@
 
     /// To whom this host passes on what comes over its data centre from `root`: its children in a tree over the live hosts
     /// there in the order of their addresses, beginning with `root`.
-    pub(crate) fn behind(&self, now: Time, root: SocketAddr) -> Vec<SocketAddr> {
+    pub(crate) fn relay_children(&self, now: Time, root: SocketAddr) -> Vec<SocketAddr> {
         let mut hosts = self.live_in(now, &self.data_centre);
         hosts.extend([self.own, root]);
         hosts.sort();
@@ -176,9 +176,9 @@
 
     /// A few live hosts to tell of, in turn; in a large fleet those of the own data centre, and who reads
     /// the upstreams for all: of two that read, the second must hear the first to leave it to that one.
-    pub(crate) fn some(&mut self, now: Time) -> Vec<SocketAddr> {
+    pub(crate) fn announced_hosts(&mut self, now: Time) -> Vec<SocketAddr> {
         self.turn = self.turn.wrapping_add(ADDRESSES_TOLD);
-        if self.is_small(now) {
+        if self.is_small_fleet(now) {
             return in_turn(&self.all_live(now), self.turn, ADDRESSES_TOLD);
         }
         let mut some = self.few_live_in(now, &self.data_centre, ADDRESSES_TOLD);
@@ -202,7 +202,7 @@
     }
 
     /// The hosts of a data centre, for one of them that has just started.
-    pub(crate) fn neighbours_of(&self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
+    pub(crate) fn bootstrap_hosts(&self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         in_turn(&self.live_in(now, data_centre), 0, ADDRESSES_TOLD_AT_START)
     }
 
--- a/src/gateway/peers/readers.rs
+++ b/src/gateway/peers/readers.rs
@@ -45,7 +45,7 @@
         data_centre: &DataCentre,
         topic: Topic,
     ) -> bool {
-        if self.is_small(now) {
+        if self.is_small_fleet(now) {
             return true;
         }
         let silent_for = self.reader_silent_for(now);
@@ -66,18 +66,18 @@
     }
 
     /// Whether a host that reads a topic of the log was heard a moment ago.
-    pub fn hears_reader(&self, now: Time, topic: Topic) -> bool {
-        self.heard_reader_within(now, topic, self.reader_silent_for(now))
+    pub fn has_live_reader(&self, now: Time, topic: Topic) -> bool {
+        self.has_reader_within(now, topic, self.reader_silent_for(now))
     }
 
     /// Whether such a host was heard lately enough that a host which is no candidate waits for its word.
     pub(crate) fn awaits_reader(&self, now: Time, topic: Topic) -> bool {
         let patience = self.reader_silent_for(now) * PATIENT_ROUNDS;
-        self.heard_reader_within(now, topic, patience)
+        self.has_reader_within(now, topic, patience)
     }
 
     /// Whether such a host was heard within this time.
-    pub(crate) fn heard_reader_within(&self, now: Time, topic: Topic, within: Duration) -> bool {
+    pub(crate) fn has_reader_within(&self, now: Time, topic: Topic, within: Duration) -> bool {
         self.live_readers(now)
             .any(|heard| heard.reading.contains(topic) && now.since(heard.at) < within)
     }
@@ -90,7 +90,7 @@
 
     /// How often a host that reads the log for others sends to them.
     pub(crate) fn reader_interval(&self, now: Time) -> Duration {
-        let hosts = u32::try_from(self.live(now)).unwrap_or(u32::MAX);
+        let hosts = u32::try_from(self.count_live(now)).unwrap_or(u32::MAX);
         READER_INTERVAL_MIN.max(READER_INTERVAL_PER_HOST.saturating_mul(hosts))
     }
 
@@ -102,8 +102,8 @@
     /// Whether this host is among the first by name of the live hosts of its data centre: those look
     /// for a log that is away more often than the others, who hear of its return from them. While hosts
     /// are few, each looks for itself.
-    pub fn is_lookout(&self, now: Time, host: &HostId, data_centre: &DataCentre) -> bool {
-        if self.is_small(now) {
+    pub fn is_log_prober(&self, now: Time, host: &HostId, data_centre: &DataCentre) -> bool {
+        if self.is_small_fleet(now) {
             return true;
         }
         let near = self.live_hosts_in(now, data_centre);
@@ -114,9 +114,9 @@
     /// Whether hosts are so few that each reads the log for itself. A host that has just started hears
     /// few others at first, so what these hear counts too: hundreds that start together would each follow
     /// the whole log for seconds (7,492 calls of 295 hosts by second 6 of one play, of 10,152 in all).
-    pub(crate) fn is_small(&self, now: Time) -> bool {
+    pub(crate) fn is_small_fleet(&self, now: Time) -> bool {
         let told = self.census(now, |census| census.hears_most);
         let told = usize::try_from(told).unwrap_or(usize::MAX);
-        self.live(now).max(told) < READERS_ONLY_FROM
+        self.count_live(now).max(told) < READERS_ONLY_FROM
     }
 }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -52,7 +52,7 @@
 fn peers() -> Peers {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..20 {
-        peers.hear(Time::ZERO, address(index), &datagram(index, zone(index)));
+        peers.receive(Time::ZERO, address(index), &datagram(index, zone(index)));
     }
     peers
 }
@@ -69,11 +69,11 @@
     let mut peers = peers();
     let mut stopping = datagram(3, "south");
     stopping.stopping = true;
-    peers.hear(Time::from_ms(2_900), address(3), &stopping);
-    peers.hear(Time::from_ms(2_900), address(4), &datagram(4, "north"));
+    peers.receive(Time::from_ms(2_900), address(3), &stopping);
+    peers.receive(Time::from_ms(2_900), address(4), &datagram(4, "north"));
 
-    assert_eq!(peers.live(Time::from_ms(2_900)), 19);
-    assert_eq!(peers.live(Time::from_ms(4_100)), 1);
+    assert_eq!(peers.count_live(Time::from_ms(2_900)), 19);
+    assert_eq!(peers.count_live(Time::from_ms(4_100)), 1);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let seed = "10.0.0.1:8000".parse().unwrap();
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[seed]);
     let at_first = peers.targets(Time::ZERO, Recipients::All);
-    peers.hear(Time::ZERO, address(1), &datagram(1, "south"));
+    peers.receive(Time::ZERO, address(1), &datagram(1, "south"));
     let known = peers.targets(Time::ZERO, Recipients::All);
     let forgotten = peers.targets(Time::from_ms(60_000), Recipients::All);
 
@@ -94,7 +94,7 @@
 fn a_near_round_leaves_the_other_data_centres_out() {
     let mut peers = peers();
 
-    let near = peers.targets(Time::ZERO, Recipients::Near);
+    let near = peers.targets(Time::ZERO, Recipients::Local);
 
     assert_eq!(near.len(), 10);
 }
@@ -128,12 +128,12 @@
 #[test]
 fn the_silence_of_other_data_centres_lasts_since_the_last_word_of_any() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
-    peers.hear(Time::from_ms(100), address(1), &datagram(1, "north"));
-    assert_eq!(peers.silence_outside(Time::from_ms(900)), None);
+    peers.receive(Time::from_ms(100), address(1), &datagram(1, "north"));
+    assert_eq!(peers.remote_silence(Time::from_ms(900)), None);
 
-    peers.hear(Time::from_ms(200), address(2), &datagram(2, "south"));
-    peers.hear(Time::from_ms(500), address(3), &datagram(3, "east"));
-    let silence = peers.silence_outside(Time::from_ms(900));
+    peers.receive(Time::from_ms(200), address(2), &datagram(2, "south"));
+    peers.receive(Time::from_ms(500), address(3), &datagram(3, "east"));
+    let silence = peers.remote_silence(Time::from_ms(900));
     assert_eq!(silence, Some(Duration::from_millis(400)));
 }
 
@@ -150,7 +150,7 @@
 fn holders_that_were_heard_a_moment_ago_are_asked_first() {
     let mut peers = peers();
     let later = Time::from_ms(1_500);
-    peers.hear(later, address(3), &datagram(3, "south"));
+    peers.receive(later, address(3), &datagram(3, "south"));
 
     let recent = nearest(&peers.holders(later, 2));
     let only_older = nearest(&self::peers().holders(later, 2));
@@ -167,30 +167,30 @@
     let mut far = datagram(1, "south");
     far.hears_near = 58;
 
-    peers.hear(Time::ZERO, address(1), &far);
-    let counted = peers.live(Time::from_ms(3_900));
+    peers.receive(Time::ZERO, address(1), &far);
+    let counted = peers.count_live(Time::from_ms(3_900));
     let mut stopping = far.clone();
     stopping.stopping = true;
-    peers.hear(Time::ZERO, address(1), &stopping);
+    peers.receive(Time::ZERO, address(1), &stopping);
 
     assert_eq!(counted, 59);
-    assert_eq!(peers.live(Time::from_ms(3_900)), 58);
-    assert_eq!(peers.live(Time::from_ms(4_000)), 0);
+    assert_eq!(peers.count_live(Time::from_ms(3_900)), 58);
+    assert_eq!(peers.count_live(Time::from_ms(4_000)), 0);
 }
 
 #[test]
 fn all_hosts_of_another_data_centre_are_told_in_turn_and_who_reads_for_all_each_time() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..9 {
-        peers.hear(Time::ZERO, address(index), &datagram(index, "south"));
+        peers.receive(Time::ZERO, address(index), &datagram(index, "south"));
     }
     let mut reader = datagram(9, "east");
     reader.reading.upstreams = true;
-    peers.hear(Time::ZERO, address(9), &reader);
-    peers.hear(Time::ZERO, address(10), &datagram(10, "north"));
+    peers.receive(Time::ZERO, address(9), &reader);
+    peers.receive(Time::ZERO, address(10), &datagram(10, "north"));
 
     let rounds = [0, 1, 2].map(|_| {
-        let partners = peers.far_partners(Time::ZERO).into_values();
+        let partners = peers.remote_partners(Time::ZERO).into_values();
         partners.flatten().collect::<Vec<SocketAddr>>()
     });
 
@@ -212,17 +212,17 @@
     let mut known = datagram(31, "south");
     known.hears = 20;
 
-    let started = peers.hear(Time::ZERO, address(30), &newcomer);
-    let again = peers.hear(Time::ZERO, address(30), &newcomer);
-    let arrived = peers.hear(Time::ZERO, address(31), &known);
+    let started = peers.receive(Time::ZERO, address(30), &newcomer);
+    let again = peers.receive(Time::ZERO, address(30), &newcomer);
+    let arrived = peers.receive(Time::ZERO, address(31), &known);
     let introduced = peers.introductions(Time::ZERO, &DataCentre::new("north"));
 
-    assert!(started.is_stranger && started.has_started);
-    assert!(!again.is_stranger);
-    assert!(arrived.is_stranger && !arrived.has_started);
+    assert!(started.is_unknown && started.is_newcomer);
+    assert!(!again.is_unknown);
+    assert!(arrived.is_unknown && !arrived.is_newcomer);
     assert_eq!(
         peers
-            .neighbours_of(Time::ZERO, &DataCentre::new("north"))
+            .bootstrap_hosts(Time::ZERO, &DataCentre::new("north"))
             .len(),
         11
     );
@@ -241,17 +241,17 @@
     introducing.introduced = (2..6)
         .map(|index| (DataCentre::new("east"), address(index)))
         .collect();
-    peers.hear(Time::ZERO, address(1), &introducing);
-    let tried = peers.targets(Time::ZERO, Recipients::Near);
+    peers.receive(Time::ZERO, address(1), &introducing);
+    let tried = peers.targets(Time::ZERO, Recipients::Local);
     for index in 2..10 {
-        peers.hear(Time::ZERO, address(index), &datagram(index, "east"));
+        peers.receive(Time::ZERO, address(index), &datagram(index, "east"));
     }
 
     introducing.introduced = vec![(DataCentre::new("east"), address(11))];
-    peers.hear(Time::ZERO, address(1), &introducing);
+    peers.receive(Time::ZERO, address(1), &introducing);
 
     assert_eq!(tried, [2, 3, 4, 5].map(address));
-    assert!(peers.targets(Time::ZERO, Recipients::Near).is_empty());
+    assert!(peers.targets(Time::ZERO, Recipients::Local).is_empty());
 }
 
 #[test]
@@ -260,7 +260,7 @@
     for index in [0, 1, 3] {
         let mut newer = datagram(index, zone(index));
         newer.config = 4;
-        peers.hear(Time::from_ms(10), address(index), &newer);
+        peers.receive(Time::from_ms(10), address(index), &newer);
     }
 
     let holders = nearest(&peers.holders(Time::from_ms(20), 3));
@@ -313,7 +313,7 @@
     let knows = |own: usize, data_centre: &str| {
         let mut peers = Peers::new(address(own), DataCentre::new(data_centre), &[]);
         for (index, data_centre) in hosts.iter().filter(|(index, _)| *index != own) {
-            peers.hear(Time::ZERO, address(*index), &datagram(*index, data_centre));
+            peers.receive(Time::ZERO, address(*index), &datagram(*index, data_centre));
         }
         peers
     };
--- a/src/gateway/peers/tests/census.rs
+++ b/src/gateway/peers/tests/census.rs
@@ -27,7 +27,7 @@
         datagram.stopping = random.random_bool(0.2);
         datagram.config = random.random_range(0..50);
         known.insert(index, (now, datagram.stopping, datagram.config));
-        peers.hear(now, address(index), &datagram);
+        peers.receive(now, address(index), &datagram);
         if !step.is_multiple_of(7) {
             continue;
         }
@@ -38,8 +38,8 @@
             .collect();
         let near = live.iter().filter(|(index, _)| zone(**index) == "north");
         let newest = live.iter().map(|(_, (_, _, config))| *config).max();
-        assert_eq!(peers.live(now), live.len(), "step {step}");
-        assert_eq!(peers.count_near(now), near.count(), "step {step}");
+        assert_eq!(peers.count_live(now), live.len(), "step {step}");
+        assert_eq!(peers.count_local(now), near.count(), "step {step}");
         assert_eq!(
             peers.newest_version(now),
             newest.unwrap_or(0),
--- a/src/gateway/peers/tests/fleet.rs
+++ b/src/gateway/peers/tests/fleet.rs
@@ -85,29 +85,29 @@
                 return;
             }
             self.round(now, index);
-            let next = now + interval_among(self.hosts[index].peers.count_near(now));
+            let next = now + interval_among(self.hosts[index].peers.count_local(now));
             self.due.push(Reverse((next, index)));
         }
     }
 
     fn round(&mut self, now: Time, index: usize) {
         let host = &mut self.hosts[index];
-        let is_small = host.peers.is_small(now);
+        let is_small = host.peers.is_small_fleet(now);
         let audience = if is_small {
             Recipients::All
         } else {
-            Recipients::Near
+            Recipients::Local
         };
         let targets = host.peers.targets(now, audience).into_iter();
         let (unheard, heard): (Vec<_>, Vec<_>) =
-            targets.partition(|target| host.peers.is_unheard(target));
+            targets.partition(|target| host.peers.is_unconfirmed(target));
         let is_far_due = host
             .last_far
             .is_none_or(|last| now.since(last) >= FAR_INTERVAL);
         let far = match !is_small && is_far_due {
             true => {
                 host.last_far = Some(now);
-                let partners = host.peers.far_partners(now);
+                let partners = host.peers.remote_partners(now);
                 partners.into_values().flatten().collect()
             }
             false => Vec::new(),
@@ -131,22 +131,22 @@
     fn deliver(&mut self, now: Time, from: usize, to: usize, told: &Datagram) {
         let sender = self.hosts[from].address;
         let host = &mut self.hosts[to];
-        let acquaintance = host.peers.hear(now, sender, told);
+        let acquaintance = host.peers.receive(now, sender, told);
         if !acquaintance.lacks_hosts {
             return;
         }
         self.answered += 1;
         let mut answer = host.tell(now);
         answer.introduced = host.peers.introductions(now, &told.data_centre);
-        if acquaintance.has_started {
-            answer.hosts = host.peers.neighbours_of(now, &told.data_centre);
+        if acquaintance.is_newcomer {
+            answer.hosts = host.peers.bootstrap_hosts(now, &told.data_centre);
         }
         self.send(now, to, &[sender], &answer);
     }
 
     /// The least and the most hosts that any host counts, itself among them.
     fn counts(&self, now: Time) -> (usize, usize) {
-        let counts = self.hosts.iter().map(|host| host.peers.live(now) + 1);
+        let counts = self.hosts.iter().map(|host| host.peers.count_live(now) + 1);
         (counts.clone().min().unwrap(), counts.max().unwrap())
     }
 
@@ -164,9 +164,9 @@
     fn tell(&mut self, now: Time) -> Datagram {
         let mut told = datagram(0, self.data_centre.as_str());
         told.host = HostId::new(format!("host-{}", self.address));
-        told.hears = self.peers.live(now) as u32;
-        told.hears_near = self.peers.count_near(now) as u32;
-        told.hosts = self.peers.some(now);
+        told.hears = self.peers.count_live(now) as u32;
+        told.hears_near = self.peers.count_local(now) as u32;
+        told.hosts = self.peers.announced_hosts(now);
         told.lacks_hosts = self.peers.lacks_hosts();
         told
     }
--- a/src/gateway/peers/tests/looks.rs
+++ b/src/gateway/peers/tests/looks.rs
@@ -26,7 +26,7 @@
 fn host_of(fleet: usize) -> Peers {
     let mut peers = Peers::new(address(0), DataCentre::new(DATA_CENTRES[0]), &[]);
     for index in 1..fleet {
-        peers.hear(Time::ZERO, address(index), &told_by(index));
+        peers.receive(Time::ZERO, address(index), &told_by(index));
     }
     peers
 }
@@ -53,9 +53,9 @@
             ..told_by(fleet)
         };
         looks(&mut peers, |peers| {
-            peers.hear(Time::ZERO, address(fleet), &stranger);
+            peers.receive(Time::ZERO, address(fleet), &stranger);
             peers.introductions(Time::ZERO, &stranger.data_centre);
-            peers.some(Time::ZERO);
+            peers.announced_hosts(Time::ZERO);
         })
     };
 
--- a/src/gateway/peers/tests/reading.rs
+++ b/src/gateway/peers/tests/reading.rs
@@ -24,7 +24,7 @@
 fn the_first_host_of_a_data_centre_reads() {
     let mut peers = Peers::new(address(0), DataCentre::new("north"), &[]);
     for index in 1..20 {
-        peers.hear(Time::ZERO, address(index), &datagram(index, zone(index)));
+        peers.receive(Time::ZERO, address(index), &datagram(index, zone(index)));
     }
 
     assert!(is_reader(&peers, Time::ZERO, 0));
@@ -36,7 +36,7 @@
     let mut peers = peers();
     let later = Time::from_ms(1_200);
     for index in 1..20 {
-        peers.hear(later, address(index), &datagram(index, zone(index)));
+        peers.receive(later, address(index), &datagram(index, zone(index)));
     }
 
     // Of the north, host 0 is silent and host 2 would be next.
@@ -49,7 +49,7 @@
     let mut peers = peers();
     let mut turned_away = datagram(0, "north");
     turned_away.unreadable.operator = true;
-    peers.hear(Time::ZERO, address(0), &turned_away);
+    peers.receive(Time::ZERO, address(0), &turned_away);
 
     assert!(is_reader_in(&peers, Time::ZERO, 1, "north"));
 }
@@ -63,10 +63,10 @@
     assert!(reads(&peers, Time::ZERO));
     let mut reading = datagram(0, "north");
     reading.reading.upstreams = true;
-    peers.hear(Time::ZERO, address(0), &reading);
+    peers.receive(Time::ZERO, address(0), &reading);
 
     assert!(!reads(&peers, Time::from_ms(999)));
-    assert!(peers.hears_reader(Time::from_ms(999), Topic::Upstreams));
+    assert!(peers.has_live_reader(Time::from_ms(999), Topic::Upstreams));
     assert!(is_reader_in(&peers, Time::from_ms(999), 1, "south"));
     // Behind a cut it isn't heard any more.
     assert!(reads(&peers, Time::from_ms(1_000)));
@@ -76,7 +76,7 @@
 fn two_hosts_of_a_data_centre_look_out_for_a_log_that_is_away() {
     let peers = peers();
     let is_lookout =
-        |index: usize| peers.is_lookout(Time::ZERO, &host(index), &DataCentre::new(zone(index)));
+        |index: usize| peers.is_log_prober(Time::ZERO, &host(index), &DataCentre::new(zone(index)));
 
     let lookouts: Vec<usize> = (0..20).filter(|index| is_lookout(*index)).collect();
 
@@ -87,7 +87,7 @@
 fn a_few_hosts_read_each_for_itself() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..8 {
-        peers.hear(Time::ZERO, address(index), &datagram(index, "north"));
+        peers.receive(Time::ZERO, address(index), &datagram(index, "north"));
     }
 
     assert!(is_reader(&peers, Time::ZERO, 20));
@@ -101,7 +101,7 @@
         let mut datagram = datagram(usize::from(index), "north");
         datagram.host = HostId::new(format!("host-{index:04}"));
         datagram.reading.operator = index == 1;
-        peers.hear(Time::ZERO, address, &datagram);
+        peers.receive(Time::ZERO, address, &datagram);
     }
     peers
 }
@@ -116,7 +116,10 @@
         let two_rounds = Time::ZERO + peers.reader_interval(Time::ZERO) * 2;
         let last = HostId::new("host-9999");
 
-        assert!(peers.hears_reader(two_rounds, Topic::Operator), "{count}");
+        assert!(
+            peers.has_live_reader(two_rounds, Topic::Operator),
+            "{count}"
+        );
         assert!(!peers.is_reader(two_rounds, &last, &north, Topic::Operator));
     }
 }
@@ -126,7 +129,7 @@
     let peers = fleet_of(78);
     let silent = Time::from_ms(1_500);
 
-    assert!(!peers.hears_reader(silent, Topic::Operator));
+    assert!(!peers.has_live_reader(silent, Topic::Operator));
     assert!(peers.awaits_reader(silent, Topic::Operator));
     assert!(!peers.awaits_reader(Time::from_ms(2_000), Topic::Operator));
 }
@@ -139,13 +142,13 @@
     let mut seed = datagram(1, "north");
     seed.hears = 200;
     seed.reading.operator = true;
-    peers.hear(Time::ZERO, address(1), &seed);
+    peers.receive(Time::ZERO, address(1), &seed);
     let mut later = seed.clone();
     later.hears = 3;
 
     assert!(!is_reader_in(&peers, Time::ZERO, 20, "north"));
     // After a cut those that are left count for themselves.
-    peers.hear(Time::ZERO, address(1), &later);
+    peers.receive(Time::ZERO, address(1), &later);
     assert!(is_reader_in(&peers, Time::ZERO, 20, "north"));
 }
 
@@ -156,9 +159,9 @@
     let mut peers = peers();
     let mut reader = datagram(40, "south");
     reader.reading.upstreams = true;
-    peers.hear(Time::ZERO, address(40), &reader);
+    peers.receive(Time::ZERO, address(40), &reader);
 
-    let told = [0, 1, 2].map(|_| peers.some(Time::ZERO));
+    let told = [0, 1, 2].map(|_| peers.announced_hosts(Time::ZERO));
 
     assert!(told.iter().all(|told| told.contains(&address(40))));
     assert!(
--- a/src/gateway/peers/tests/relays.rs
+++ b/src/gateway/peers/tests/relays.rs
@@ -27,7 +27,7 @@
     let hear_all = |own: usize| {
         let mut peers = Peers::new(address(own), north.clone(), &[]);
         for (index, datagram) in datagrams.iter().enumerate().filter(|(at, _)| *at != own) {
-            peers.hear(Time::ZERO, address(index), datagram);
+            peers.receive(Time::ZERO, address(index), datagram);
         }
         peers
     };
@@ -40,7 +40,7 @@
     let mut waiting = VecDeque::from([root]);
     let mut sends_most = 0;
     while let Some(index) = waiting.pop_front() {
-        let behind = hosts[index].behind(Time::ZERO, address(root));
+        let behind = hosts[index].relay_children(Time::ZERO, address(root));
         sends_most = sends_most.max(behind.len());
         let passed = hops[&address(index)] + 1;
         for child in behind {
--- a/src/gateway/peers/tests/remembering.rs
+++ b/src/gateway/peers/tests/remembering.rs
@@ -20,14 +20,14 @@
     let mut peers = Peers::new(own, DataCentre::new("north"), &[]);
     for index in 0..far {
         let now = Time::ZERO + Duration::from_millis(10) * index as u32;
-        peers.hear(now, address(index), &datagram(index, "south"));
+        peers.receive(now, address(index), &datagram(index, "south"));
     }
     peers
 }
 
 fn remembered_after(peers: &mut Peers, silence: Duration) -> Vec<SocketAddr> {
-    peers.targets(Time::ZERO + silence, Recipients::Near);
-    peers.all_outside()
+    peers.targets(Time::ZERO + silence, Recipients::Local);
+    peers.remote_hosts()
 }
 
 // After a cut of 16 s neither side knew whom to tell that it was over.
@@ -36,7 +36,7 @@
     let mut peers = host_that_heard(10);
 
     let after_20_s = remembered_after(&mut peers, Duration::from_secs(20));
-    let partners = peers.far_partners(Time::ZERO + Duration::from_secs(20));
+    let partners = peers.remote_partners(Time::ZERO + Duration::from_secs(20));
     let after_61_s = remembered_after(&mut peers, Duration::from_secs(61));
 
     assert_eq!(after_20_s.len(), 10);
@@ -59,10 +59,10 @@
     let mut peers = host_that_heard(10);
     let now = Time::ZERO + Duration::from_secs(20);
     for index in 20..24 {
-        peers.hear(now, address(index), &datagram(index, "south"));
+        peers.receive(now, address(index), &datagram(index, "south"));
     }
 
-    let partners = peers.far_partners(now).remove(&DataCentre::new("south"));
+    let partners = peers.remote_partners(now).remove(&DataCentre::new("south"));
 
     let partners = partners.expect("hosts of the south");
     assert!(
@@ -80,11 +80,11 @@
         ..datagram(index, "south")
     };
 
-    let lacking = peers.hear(Time::ZERO, address(30), &told_by(30, true));
-    let knowing = peers.hear(Time::ZERO, address(31), &told_by(31, false));
+    let lacking = peers.receive(Time::ZERO, address(30), &told_by(30, true));
+    let knowing = peers.receive(Time::ZERO, address(31), &told_by(31, false));
 
-    assert!(lacking.is_stranger && lacking.lacks_hosts);
-    assert!(knowing.is_stranger && !knowing.lacks_hosts);
+    assert!(lacking.is_unknown && lacking.lacks_hosts);
+    assert!(knowing.is_unknown && !knowing.lacks_hosts);
 }
 
 #[test]
--- a/src/gateway/hearsay.rs
+++ b/src/gateway/relayedchanges.rs
@@ -11,13 +11,13 @@
 use crate::gateway::instance::InstanceId;
 
 /// Between two lines. What the host knew at a moment is told by those of the hosts that read the log.
-const GATHERED_FOR: Duration = Duration::from_secs(3);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(3);
 /// Upstreams that a line names.
-const NAMED_MAX: usize = 3;
+const NAMED_UPSTREAMS_MAX: usize = 3;
 
 /// What was heard since the last line.
 #[derive(Debug, Default)]
-pub struct Hearsay {
+pub struct RelayedChanges {
     since: Option<Time>,
     counts: BTreeMap<&'static str, usize>,
     first: Vec<InstanceId>,
@@ -26,7 +26,7 @@
 
 /// What one line tells.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Gathered {
+pub struct ChangeSummary {
     /// Changes by their names.
     pub counts: BTreeMap<&'static str, usize>,
     /// The first upstreams that changed.
@@ -35,25 +35,31 @@
     pub host: String,
 }
 
-impl Hearsay {
+impl RelayedChanges {
     /// Another host told of a change.
-    pub fn note(&mut self, now: Time, host: &str, upstream: &InstanceId, change: DirectoryChange) {
+    pub fn record(
+        &mut self,
+        now: Time,
+        host: &str,
+        upstream: &InstanceId,
+        change: DirectoryChange,
+    ) {
         host.clone_into(&mut self.host);
         self.since.get_or_insert(now);
         *self.counts.entry(change.name()).or_default() += 1;
-        if self.first.len() < NAMED_MAX {
+        if self.first.len() < NAMED_UPSTREAMS_MAX {
             self.first.push(upstream.clone());
         }
     }
 
     /// What is to be written now, if anything is.
-    pub fn take_due(&mut self, now: Time) -> Option<Gathered> {
+    pub fn take_due(&mut self, now: Time) -> Option<ChangeSummary> {
         let since = self.since?;
-        if now.since(since) < GATHERED_FOR {
+        if now.since(since) < SUMMARY_INTERVAL {
             return None;
         }
         self.since = None;
-        Some(Gathered {
+        Some(ChangeSummary {
             counts: std::mem::take(&mut self.counts),
             first: std::mem::take(&mut self.first),
             host: std::mem::take(&mut self.host),
--- a/src/gateway/hearsay/tests.rs
+++ b/src/gateway/relayedchanges/tests.rs
@@ -1,8 +1,8 @@
 use std::collections::BTreeMap;
 
-use super::GATHERED_FOR;
-use super::Gathered;
-use super::Hearsay;
+use super::ChangeSummary;
+use super::RelayedChanges;
+use super::SUMMARY_INTERVAL;
 use crate::clock::Time;
 use crate::gateway::directory::DirectoryChange;
 use crate::gateway::instance::InstanceId;
@@ -14,15 +14,15 @@
 
 #[test]
 fn a_wave_of_upstreams_is_one_line_with_its_counts_and_the_first_of_them() {
-    let mut hearsay = Hearsay::default();
+    let mut changes = RelayedChanges::default();
     for index in 0..10 {
-        hearsay.note(
+        changes.record(
             Time::ZERO,
             "host-0",
             &instance(index),
             DirectoryChange::Leaving,
         );
-        hearsay.note(
+        changes.record(
             Time::from_ms(900),
             "host-1",
             &instance(index),
@@ -30,9 +30,9 @@
         );
     }
 
-    let early = hearsay.take_due(Time::from_ms(1_000));
-    let due = hearsay.take_due(Time::ZERO + GATHERED_FOR);
-    let nothing = hearsay.take_due(Time::ZERO + GATHERED_FOR * 2);
+    let early = changes.take_due(Time::from_ms(1_000));
+    let due = changes.take_due(Time::ZERO + SUMMARY_INTERVAL);
+    let nothing = changes.take_due(Time::ZERO + SUMMARY_INTERVAL * 2);
 
     assert_eq!((early, nothing), (None, None));
     let counts = BTreeMap::from([("leaving", 10), ("removed", 10)]);
@@ -40,7 +40,7 @@
     let host = "host-1".to_owned();
     assert_eq!(
         due,
-        Some(Gathered {
+        Some(ChangeSummary {
             counts,
             first,
             host
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -26,7 +26,6 @@
 use crate::gateway::document::assembly::Assembly;
 use crate::gateway::document::catchup::CatchUp;
 use crate::gateway::document::transfers::Transfers;
-use crate::gateway::hearsay::Hearsay;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining::Seeds;
 use crate::gateway::loads::SharedLoads;
@@ -42,6 +41,7 @@
 use crate::gateway::queue::QueueHandle;
 use crate::gateway::reachability::Reachability;
 use crate::gateway::reading::ReadingBoard;
+use crate::gateway::relayedchanges::RelayedChanges;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
 use crate::gateway::rollouts::evidence::EvidenceStore;
@@ -88,7 +88,7 @@
     active_config: RwLock<Option<ActiveConfig>>,
     directory: Mutex<Directory>,
     directory_changed: watch::Sender<u64>,
-    relayed_changes: Mutex<Hearsay>,
+    relayed_changes: Mutex<RelayedChanges>,
     peers: Mutex<Peers>,
     ejector: Mutex<Ejector<InstanceId>>,
     reachability: Mutex<Reachability>,
@@ -278,7 +278,7 @@
     /// Number of live hosts, including this one.
     pub fn live_hosts(&self) -> usize {
         let now = self.now();
-        self.peers(|peers| peers.live(now)) + 1
+        self.peers(|peers| peers.count_live(now)) + 1
     }
 
     /// Upper estimate of the fleet's size: the largest number of hosts that a peer announces or that this
@@ -286,20 +286,20 @@
     pub(crate) fn fleet_size_estimate(&self) -> u32 {
         const HOSTS_MAX: u32 = 4_000;
         let now = self.now();
-        self.peers(|peers| peers.told(now)).min(HOSTS_MAX)
+        self.peers(|peers| peers.live_max(now)).min(HOSTS_MAX)
     }
 
     /// Number of hosts among which fleet-wide limits are divided, including this one.
     pub fn sharing_hosts(&self) -> usize {
         let now = self.now();
-        self.peers(|peers| peers.sharing(now))
+        self.peers(|peers| peers.sharing_hosts(now))
     }
 
     /// Whether the fleet is small enough that each host sends its full state to all others and reads the
     /// log itself.
     pub(crate) fn is_small_fleet(&self) -> bool {
         let now = self.now();
-        self.peers(|peers| peers.is_small(now))
+        self.peers(|peers| peers.is_small_fleet(now))
     }
 
     /// How old the load counts of other data centres are. They are fresh in a small fleet, where each host
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -35,7 +35,7 @@
                 ChangeSource::Local(source) => self.log_change(&applied, source),
                 ChangeSource::Peer(host) => {
                     let now = self.now();
-                    lock(&self.0.relayed_changes).note(now, host, &applied.id, applied.change);
+                    lock(&self.0.relayed_changes).record(now, host, &applied.id, applied.change);
                 }
             }
         }
--- a/src/gateway/shared/cold.rs
+++ b/src/gateway/shared/cold.rs
@@ -23,7 +23,7 @@
             return true;
         };
         let settings = self.settings();
-        let near = self.peers(|peers| peers.live_near(now));
+        let near = self.peers(|peers| peers.live_local(now));
         let sender = Sender {
             host: &settings.host,
             data_centre: &settings.data_centre,
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -116,7 +116,7 @@
     /// Checks whether a network partition separates this host from a service, or has ended, and logs a change.
     pub fn check_partition(&self) {
         let now = self.now();
-        let silence = self.peers(|peers| peers.silence_outside(now));
+        let silence = self.peers(|peers| peers.remote_silence(now));
         let lost = || self.unreachable_service(now);
         let Some(change) = lock(&self.0.partition).update(silence, lost) else {
             return;
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -27,7 +27,7 @@
     pub fn is_log_prober(&self) -> bool {
         let now = self.now();
         let settings = self.settings();
-        self.peers(|peers| peers.is_lookout(now, &settings.host, &settings.data_centre))
+        self.peers(|peers| peers.is_log_prober(now, &settings.host, &settings.data_centre))
     }
 
     /// Whether this host is a reader of a topic of the log and its reads are answered.
@@ -63,7 +63,7 @@
     /// Whether this host has recently received a datagram from a reader of a topic of the log.
     pub(crate) fn has_live_reader(&self, topic: Topic) -> bool {
         let now = self.now();
-        self.peers(|peers| peers.hears_reader(now, topic))
+        self.peers(|peers| peers.has_live_reader(now, topic))
     }
 
     /// Whether this host reads the log on behalf of other hosts.
--- a/src/gateway/shared/suspension.rs
+++ b/src/gateway/shared/suspension.rs
@@ -72,9 +72,7 @@
             Topic::Operator => Fetch::Configuration,
             Topic::Upstreams | Topic::Hosts | Topic::Suspects | Topic::Status => Fetch::Upstreams,
         };
-        self.peers(|peers| {
-            peers.heard_reader_within(now, topic, window) && !peers.is_fetching(fetch)
-        })
+        self.peers(|peers| peers.has_reader_within(now, topic, window) && !peers.is_fetching(fetch))
     }
 
     /// Duration of the last suspension; zero if there was none.
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -140,7 +140,7 @@
 /// doesn't.
 fn longest_silence(shared: &Shared) -> Option<Duration> {
     let now = shared.now();
-    let silence = shared.peers(|peers| peers.longest_silence_outside(now));
+    let silence = shared.peers(|peers| peers.longest_remote_silence(now));
     silence.filter(|silence| *silence > SILENCE_MIN)
 }
 
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -16,7 +16,7 @@
 use crate::clock::Time;
 use crate::gateway::gossip::FAR_INTERVAL;
 use crate::gateway::gossip::interval_among;
-use crate::gateway::peers::FAR_PARTNERS;
+use crate::gateway::peers::REMOTE_PARTNERS;
 
 /// The share of datagrams that are lost.
 const LOSS_RATE: f64 = 0.1;
@@ -103,7 +103,7 @@
             for data_centre in (0..self.data_centres).filter(|other| *other != here) {
                 let there = self.hosts_in(data_centre);
                 let from = self.random.random_range(0..there.len());
-                let some = there.iter().cycle().skip(from).take(FAR_PARTNERS);
+                let some = there.iter().cycle().skip(from).take(REMOTE_PARTNERS);
                 let some: Vec<usize> = some.copied().collect();
                 self.send(now, &some, &announced);
             }
