--- a/src/gateway/identity.rs
+++ b/src/gateway/identity.rs
@@ -36,7 +36,7 @@
     let key = headers
         .get(AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
-        .and_then(|value| key_of(value, scheme));
+        .and_then(|value| parse_key(value, scheme));
     match key.and_then(|key| customers.get(key)) {
         Some(customer) => Caller::Known(customer.clone()),
         None => Caller::Unauthorized,
@@ -44,7 +44,7 @@
 }
 
 /// The key after the scheme, whose case doesn't matter.
-fn key_of<'v>(value: &'v str, scheme: &str) -> Option<&'v str> {
+fn parse_key<'v>(value: &'v str, scheme: &str) -> Option<&'v str> {
     let (given, key) = value.trim().split_once(' ')?;
     given.eq_ignore_ascii_case(scheme).then(|| key.trim())
 }
--- a/src/gateway/identity/tests.rs
+++ b/src/gateway/identity/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_key_names_its_customer() {
+fn a_key_identifies_its_customer() {
     let known = Caller::Known(customer());
 
     assert_eq!(caller(true, false, Some("Token key-1")), known);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn public_routes_and_tables_without_keys_ask_for_none() {
+fn public_routes_and_configurations_without_keys_need_none() {
     assert_eq!(caller(true, true, None), Caller::Anonymous);
     assert_eq!(caller(false, false, None), Caller::Anonymous);
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,7 +1,7 @@
 //! The other hosts, as their datagrams tell of them: who is live, who reads the log, who has what.
 //!
 //! The hosts of a data centre all hear each other. Of other data centres a host of a large fleet hears
-//! a few hosts at a time, whose words stand for their data centre ([`crate::gateway::gossip`]).
+//! a few hosts at a time, whose reports stand for their data centre ([`crate::gateway::gossip`]).
 
 #[cfg(test)]
 use std::cell::Cell;
@@ -24,18 +24,18 @@
 use crate::id::HostId;
 
 /// A host that was not heard for so long counts no more: two rounds to other data centres.
-const LIVE_FOR: Duration = Duration::from_millis(4_000);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Who knows so many of another data centre, of whom each tells others in turn, needs no introduction.
-const KNOWN_ENOUGH: usize = 8;
+const KNOWN_HOSTS_MIN: usize = 8;
 
-mod census;
+mod expiry;
 mod fleetsize;
-mod forgetting;
+mod livecounts;
 mod partners;
 mod readers;
 
-use self::census::Census;
 use self::fleetsize::FleetSize;
+use self::livecounts::LiveCounts;
 #[cfg(test)]
 pub(crate) use self::partners::REMOTE_PARTNERS;
 pub use self::partners::Recipients;
@@ -52,41 +52,41 @@
 /// What is known of another host.
 #[derive(Debug, Clone)]
 struct Peer {
-    learnt_at: Time,
-    heard: Option<Heard>,
+    added_at: Time,
+    report: Option<Report>,
 }
 
 /// What a host's last datagram said.
 #[derive(Debug, Clone)]
-struct Heard {
-    at: Time,
+struct Report {
+    received_at: Time,
     host: HostId,
     data_centre: DataCentre,
     peer_address: SocketAddr,
-    config: u64,
-    upstreams: Position,
+    config_version: u64,
+    upstreams_position: Position,
     reading: Topics,
     unreadable: Topics,
-    hears: u32,
+    live_count: u32,
     stopping: bool,
 }
 
-impl Heard {
+impl Report {
     fn is_live(&self, now: Time) -> bool {
-        now.since(self.at) < LIVE_FOR && !self.stopping
+        now.since(self.received_at) < LIVENESS_TIMEOUT && !self.stopping
     }
 
-    fn of(now: Time, address: SocketAddr, datagram: &Datagram) -> Self {
-        Heard {
-            at: now,
+    fn from_datagram(now: Time, address: SocketAddr, datagram: &Datagram) -> Self {
+        Report {
+            received_at: now,
             host: datagram.host.clone(),
             data_centre: datagram.data_centre.clone(),
             peer_address: SocketAddr::new(address.ip(), datagram.peer_port),
-            config: datagram.config,
-            upstreams: datagram.upstreams,
+            config_version: datagram.config,
+            upstreams_position: datagram.upstreams,
             reading: datagram.reading,
             unreadable: datagram.unreadable,
-            hears: datagram.hears,
+            live_count: datagram.hears,
             stopping: datagram.stopping,
         }
     }
@@ -94,8 +94,8 @@
 
 /// What was last told of a whole data centre.
 #[derive(Debug, Clone, Copy)]
-struct DataCentreWord {
-    at: Time,
+struct DataCentreReport {
+    received_at: Time,
     /// Hosts there that are live, but not this one.
     others: usize,
 }
@@ -116,25 +116,25 @@
 /// The other hosts, by the address of their datagrams.
 #[derive(Debug)]
 pub struct Peers {
-    own: SocketAddr,
+    own_address: SocketAddr,
     data_centre: DataCentre,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<SocketAddr, Peer>,
     /// Those of `peers` that were heard, by data centre.
-    places: BTreeMap<DataCentre, BTreeSet<SocketAddr>>,
+    by_data_centre: BTreeMap<DataCentre, BTreeSet<SocketAddr>>,
     /// Those of `peers` that read the log.
     readers: BTreeSet<SocketAddr>,
-    census: RefCell<Option<Census>>,
+    counts: RefCell<Option<LiveCounts>>,
     /// What was last heard of each data centre.
-    words: BTreeMap<DataCentre, DataCentreWord>,
+    data_centres: BTreeMap<DataCentre, DataCentreReport>,
     size: FleetSize,
-    turn: usize,
-    far_turn: usize,
-    relay_turn: usize,
+    rotation: usize,
+    remote_rotation: usize,
+    relay_rotation: usize,
     fetching: BTreeSet<Fetch>,
     /// Hosts looked up by address.
     #[cfg(test)]
-    looks: Cell<usize>,
+    lookups: Cell<usize>,
 }
 
 impl Peers {
@@ -146,51 +146,52 @@
             .filter(|seed| *seed != own)
             .collect();
         Peers {
-            own,
+            own_address: own,
             data_centre,
             seeds,
             peers: BTreeMap::new(),
-            places: BTreeMap::new(),
+            by_data_centre: BTreeMap::new(),
             readers: BTreeSet::new(),
-            census: RefCell::default(),
-            words: BTreeMap::new(),
+            counts: RefCell::default(),
+            data_centres: BTreeMap::new(),
             size: FleetSize::default(),
-            turn: 0,
-            relay_turn: 0,
-            far_turn: usize::from(own.port()) ^ address_number(own),
+            rotation: 0,
+            relay_rotation: 0,
+            remote_rotation: usize::from(own.port()) ^ address_sum(own),
             fetching: BTreeSet::new(),
             #[cfg(test)]
-            looks: Cell::default(),
+            lookups: Cell::default(),
         }
     }
 
     /// Addresses of hosts, by hearsay.
     pub fn add_addresses(&mut self, now: Time, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
-            if address == self.own {
+            if address == self.own_address {
                 continue;
             }
             self.peers.entry(address).or_insert(Peer {
-                learnt_at: now,
-                heard: None,
+                added_at: now,
+                report: None,
             });
         }
     }
 
     /// A datagram came from `address`.
     pub fn receive(&mut self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
-        let acquaintance = self.acquaint(now, address, datagram);
-        let is_near = datagram.data_centre == self.data_centre;
+        let sender = self.sender_status(now, address, datagram);
+        let is_local = datagram.data_centre == self.data_centre;
         let others = usize::try_from(datagram.hears_near).unwrap_or(usize::MAX);
-        let word = DataCentreWord {
-            at: now,
-            others: others.saturating_add(usize::from(!is_near && !datagram.stopping)),
+        let report = DataCentreReport {
+            received_at: now,
+            others: others.saturating_add(usize::from(!is_local && !datagram.stopping)),
         };
-        self.words.insert(datagram.data_centre.clone(), word);
+        self.data_centres
+            .insert(datagram.data_centre.clone(), report);
         let counted = usize::try_from(datagram.counted).unwrap_or(usize::MAX);
-        self.size.hear(now, counted);
-        self.enter(now, address, Heard::of(now, address, datagram));
-        if is_near || !self.knows_enough_in(&datagram.data_centre) {
+        self.size.receive(now, counted);
+        self.store_report(now, address, Report::from_datagram(now, address, datagram));
+        if is_local || !self.knows_enough_in(&datagram.data_centre) {
             let hosts = datagram.hosts.iter().copied();
             self.add_addresses(now, hosts.filter(|host| host.port() == address.port()));
         }
@@ -199,264 +200,285 @@
                 self.add_addresses(now, [*host]);
             }
         }
-        acquaintance
+        sender
     }
 
     /// Takes what a host says of itself.
-    fn enter(&mut self, now: Time, address: SocketAddr, heard: Heard) {
-        if heard.reading == Topics::default() {
+    fn store_report(&mut self, now: Time, address: SocketAddr, report: Report) {
+        if report.reading == Topics::default() {
             self.readers.remove(&address);
         } else {
             self.readers.insert(address);
         }
-        if let Some(census) = self.census.get_mut() {
-            census.note(&heard);
-            if !heard.stopping {
-                census.add(&heard.data_centre);
+        if let Some(counts) = self.counts.get_mut() {
+            counts.merge(&report);
+            if !report.stopping {
+                counts.increment(&report.data_centre);
             }
         }
-        let data_centre = heard.data_centre.clone();
-        let (config, hears) = (heard.config, heard.hears);
+        let data_centre = report.data_centre.clone();
+        let (config_version, live_count) = (report.config_version, report.live_count);
         let peer = Peer {
-            learnt_at: now,
-            heard: Some(heard),
+            added_at: now,
+            report: Some(report),
         };
         let before = self.peers.insert(address, peer);
-        let before = before.and_then(|peer| peer.heard);
+        let before = before.and_then(|peer| peer.report);
         if let Some(before) = &before {
-            let fewer = before.hears > hears || before.config > config;
-            match self.census.get_mut() {
+            let has_decreased =
+                before.live_count > live_count || before.config_version > config_version;
+            match self.counts.get_mut() {
                 // It may have been the one with the most.
-                census if fewer => *census = None,
-                Some(census) if before.is_live(now) => census.take_off(&before.data_centre),
+                counts if has_decreased => *counts = None,
+                Some(counts) if before.is_live(now) => counts.decrement(&before.data_centre),
                 Some(_) | None => {}
             }
             if before.data_centre == data_centre {
                 return;
             }
-            self.leave_place(address, &before.data_centre);
+            self.remove_from_data_centre(address, &before.data_centre);
         }
-        self.places.entry(data_centre).or_default().insert(address);
+        self.by_data_centre
+            .entry(data_centre)
+            .or_default()
+            .insert(address);
     }
 
-    fn leave_place(&mut self, address: SocketAddr, data_centre: &DataCentre) {
-        if let Some(there) = self.places.get_mut(data_centre) {
-            there.remove(&address);
+    fn remove_from_data_centre(&mut self, address: SocketAddr, data_centre: &DataCentre) {
+        if let Some(addresses) = self.by_data_centre.get_mut(data_centre) {
+            addresses.remove(&address);
         }
     }
 
     /// Runs `use_census` on a count that still holds.
-    fn census<T>(&self, now: Time, use_census: impl FnOnce(&Census) -> T) -> T {
-        let mut census = self.census.borrow_mut();
-        let census = match census.as_mut() {
-            Some(census) if census.holds(now) => census,
-            _ => census.insert(self.take_census(now)),
+    fn with_counts<T>(&self, now: Time, use_counts: impl FnOnce(&LiveCounts) -> T) -> T {
+        let mut counts = self.counts.borrow_mut();
+        let counts = match counts.as_mut() {
+            Some(counts) if counts.is_valid(now) => counts,
+            _ => counts.insert(self.count_hosts(now)),
         };
-        use_census(census)
+        use_counts(counts)
     }
 
-    fn take_census(&self, now: Time) -> Census {
-        let mut census = Census::new(now);
-        for heard in self.live_hosts(now) {
-            census.note(heard);
-            census.add(&heard.data_centre);
+    fn count_hosts(&self, now: Time) -> LiveCounts {
+        let mut counts = LiveCounts::new(now);
+        for report in self.live_reports(now) {
+            counts.merge(report);
+            counts.increment(&report.data_centre);
         }
-        census
+        counts
     }
 
     /// What a datagram shows of its sender, before it is taken.
-    fn acquaint(&self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
+    fn sender_status(&self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
         let known = self.peers.get(&address);
-        let known = known.and_then(|peer| peer.heard.as_ref());
-        let is_near = datagram.data_centre == self.data_centre;
-        let last = match is_near {
-            true => known.map(|heard| heard.at),
-            false => self.words.get(&datagram.data_centre).map(|word| word.at),
+        let known = known.and_then(|peer| peer.report.as_ref());
+        let is_local = datagram.data_centre == self.data_centre;
+        let last = match is_local {
+            true => known.map(|report| report.received_at),
+            false => self
+                .data_centres
+                .get(&datagram.data_centre)
+                .map(|report| report.received_at),
         };
-        let hears = usize::try_from(datagram.hears).unwrap_or(usize::MAX);
+        let live_count = usize::try_from(datagram.hears).unwrap_or(usize::MAX);
         let is_unknown = known.is_none();
-        let is_newcomer = is_unknown && hears.saturating_mul(2) < self.count_live(now);
+        let is_newcomer = is_unknown && live_count.saturating_mul(2) < self.count_live(now);
         // Near ones hear each other all the same.
-        let lacks_far_hosts = is_unknown && !is_near && datagram.lacks_hosts;
+        let lacks_remote_hosts = is_unknown && !is_local && datagram.lacks_hosts;
         SenderStatus {
-            has_joined: last.is_none_or(|at| now.since(at) > LIVE_FOR),
+            has_joined: last.is_none_or(|at| now.since(at) > LIVENESS_TIMEOUT),
             is_unknown,
             is_newcomer,
-            lacks_hosts: is_newcomer || lacks_far_hosts,
+            lacks_hosts: is_newcomer || lacks_remote_hosts,
         }
     }
 
     /// Whether this host knows few hosts of another data centre, or none of any.
     pub(crate) fn lacks_hosts(&self) -> bool {
-        let others: Vec<&DataCentre> = self.other_data_centres().collect();
+        let others: Vec<&DataCentre> = self.remote_data_centres().collect();
         others.is_empty() || others.iter().any(|other| !self.knows_enough_in(other))
     }
 
-    fn live_hosts(&self, now: Time) -> impl Iterator<Item = &Heard> {
-        let heard = self.peers.values().filter_map(|peer| peer.heard.as_ref());
-        heard.filter(move |heard| heard.is_live(now))
+    fn live_reports(&self, now: Time) -> impl Iterator<Item = &Report> {
+        let reports = self.peers.values().filter_map(|peer| peer.report.as_ref());
+        reports.filter(move |report| report.is_live(now))
     }
 
     /// The live hosts of a data centre.
-    fn live_hosts_in(&self, now: Time, data_centre: &DataCentre) -> impl Iterator<Item = &Heard> {
-        let there = self.places.get(data_centre).into_iter().flatten();
-        let heard = there.filter_map(|address| self.heard(address));
-        heard.filter(move |heard| heard.is_live(now))
+    fn live_reports_in(
+        &self,
+        now: Time,
+        data_centre: &DataCentre,
+    ) -> impl Iterator<Item = &Report> {
+        let addresses = self.by_data_centre.get(data_centre).into_iter().flatten();
+        let reports = addresses.filter_map(|address| self.report_of(address));
+        reports.filter(move |report| report.is_live(now))
     }
 
-    fn heard(&self, address: &SocketAddr) -> Option<&Heard> {
+    fn report_of(&self, address: &SocketAddr) -> Option<&Report> {
         #[cfg(test)]
-        self.looks.set(self.looks.get() + 1);
-        self.peers.get(address)?.heard.as_ref()
+        self.lookups.set(self.lookups.get() + 1);
+        self.peers.get(address)?.report.as_ref()
     }
 
     fn knows_enough_in(&self, data_centre: &DataCentre) -> bool {
-        let known = self.known_in(data_centre).take(KNOWN_ENOUGH);
-        known.count() == KNOWN_ENOUGH
+        let known = self.known_in(data_centre).take(KNOWN_HOSTS_MIN);
+        known.count() == KNOWN_HOSTS_MIN
     }
 
     /// For how long no host of another data centre was heard; none if none ever was.
     pub(crate) fn remote_silence(&self, now: Time) -> Option<Duration> {
-        self.silences_outside(now).min()
+        self.remote_silences(now).min()
     }
 
     /// For how long the most silent of the other data centres was not heard; none if there is none.
     pub(crate) fn longest_remote_silence(&self, now: Time) -> Option<Duration> {
-        self.silences_outside(now).max()
+        self.remote_silences(now).max()
     }
 
-    fn silences_outside(&self, now: Time) -> impl Iterator<Item = Duration> {
-        let words = self.words.iter();
-        let outside = words.filter(|(other, _)| **other != self.data_centre);
-        outside.map(move |(_, word)| now.since(word.at))
+    fn remote_silences(&self, now: Time) -> impl Iterator<Item = Duration> {
+        let reports = self.data_centres.iter();
+        let remote = reports.filter(|(other, _)| **other != self.data_centre);
+        remote.map(move |(_, report)| now.since(report.received_at))
     }
 
     /// The live hosts of the own data centre.
     pub(crate) fn live_local(&self, now: Time) -> Vec<HostId> {
-        let live = self.live_hosts_in(now, &self.data_centre);
-        live.map(|heard| heard.host.clone()).collect()
+        let live = self.live_reports_in(now, &self.data_centre);
+        live.map(|report| report.host.clone()).collect()
     }
 
     /// The data centres of which a host was heard of late.
-    fn heard_data_centres(&self, now: Time) -> impl Iterator<Item = &DataCentre> {
-        let words = self.words.iter();
-        let heard = words.filter(move |(_, word)| now.since(word.at) < LIVE_FOR);
-        heard.map(|(data_centre, _)| data_centre)
+    fn reporting_data_centres(&self, now: Time) -> impl Iterator<Item = &DataCentre> {
+        let reports = self.data_centres.iter();
+        let recent =
+            reports.filter(move |(_, report)| now.since(report.received_at) < LIVENESS_TIMEOUT);
+        recent.map(|(data_centre, _)| data_centre)
     }
 
     /// Whether of all hosts `host`, this one, is the one to do something once that `what` names: the same data centre
     /// of those heard of late, and the same host of it, for all who hear the same.
-    pub(crate) fn is_chosen(&self, now: Time, host: &HostId, what: &str) -> bool {
-        let data_centres = self.heard_data_centres(now).map(DataCentre::as_str);
-        let near = self.live_local(now);
-        let hosts = near.iter().map(HostId::as_str);
-        rendezvous::is_first(self.data_centre.as_str(), data_centres, what)
-            && rendezvous::is_first(host.as_str(), hosts, what)
+    pub(crate) fn is_chosen(&self, now: Time, host: &HostId, task: &str) -> bool {
+        let data_centres = self.reporting_data_centres(now).map(DataCentre::as_str);
+        let local = self.live_local(now);
+        let hosts = local.iter().map(HostId::as_str);
+        rendezvous::is_first(self.data_centre.as_str(), data_centres, task)
+            && rendezvous::is_first(host.as_str(), hosts, task)
     }
 
     /// How many hosts come before `host`, this one, in doing what `what` names: of a small fleet all, else one of each data
     /// centre.
-    pub(crate) fn rank(&self, now: Time, host: &HostId, what: &str) -> usize {
+    pub(crate) fn rank(&self, now: Time, host: &HostId, task: &str) -> usize {
         if self.is_small_fleet(now) {
-            let others = self.live_hosts(now).map(|heard| heard.host.as_str());
-            return rendezvous::count_before(host.as_str(), others, what);
+            let others = self.live_reports(now).map(|report| report.host.as_str());
+            return rendezvous::count_before(host.as_str(), others, task);
         }
-        let data_centres = self.heard_data_centres(now).map(DataCentre::as_str);
-        rendezvous::count_before(self.data_centre.as_str(), data_centres, what)
+        let data_centres = self.reporting_data_centres(now).map(DataCentre::as_str);
+        rendezvous::count_before(self.data_centre.as_str(), data_centres, task)
     }
 
     /// Number of the live hosts of the own data centre.
     pub(crate) fn count_local(&self, now: Time) -> usize {
-        self.census(now, |census| census.heard_in(&self.data_centre))
+        self.with_counts(now, |counts| counts.live_in(&self.data_centre))
     }
 
     /// The hosts that have a configuration newer than `version`.
     pub fn holders(&self, now: Time, version: u64) -> Vec<Holder> {
-        let silent_for = self.reader_silent_for(now);
-        let distance = |heard: &Heard| match now.since(heard.at) < silent_for {
-            true if heard.data_centre == self.data_centre => Distance::Near,
+        let timeout = self.reader_timeout(now);
+        let distance = |report: &Report| match now.since(report.received_at) < timeout {
+            true if report.data_centre == self.data_centre => Distance::Near,
             true => Distance::Far,
             false => Distance::Silent,
         };
-        let newer = self.live_hosts(now).filter(|heard| heard.config > version);
-        let holder = |heard: &Heard| Holder {
-            address: heard.peer_address,
-            version: heard.config,
-            distance: distance(heard),
+        let newer = self
+            .live_reports(now)
+            .filter(|report| report.config_version > version);
+        let holder = |report: &Report| Holder {
+            address: report.peer_address,
+            version: report.config_version,
+            distance: distance(report),
         };
         newer.map(holder).collect()
     }
 
     /// The hosts that know the upstreams as of a later position.
     pub(crate) fn holders_of_upstreams(&self, now: Time, position: Position) -> Vec<Holder> {
-        let knows_more = self
-            .live_hosts(now)
-            .filter(|heard| heard.upstreams > position);
+        let newer = self
+            .live_reports(now)
+            .filter(|report| report.upstreams_position > position);
         // Those that know most are few, and not to be asked by all.
-        let holder = |heard: &Heard| Holder {
-            address: heard.peer_address,
+        let holder = |report: &Report| Holder {
+            address: report.peer_address,
             version: 0,
-            distance: match heard.data_centre == self.data_centre {
+            distance: match report.data_centre == self.data_centre {
                 true => Distance::Near,
                 false => Distance::Far,
             },
         };
-        knows_more.map(holder).collect()
+        newer.map(holder).collect()
     }
 
     /// Whether a live host knows what a topic of the log tells.
     pub(crate) fn has_live_holder(&self, now: Time, topic: Topic) -> bool {
-        self.census(now, |census| match topic {
-            Topic::Operator => census.newest_version > 0,
-            Topic::Upstreams => census.knows_upstreams,
+        self.with_counts(now, |counts| match topic {
+            Topic::Operator => counts.newest_version > 0,
+            Topic::Upstreams => counts.knows_upstreams,
             Topic::Hosts | Topic::Suspects | Topic::Status => false,
         })
     }
 
     /// The newest version of the configuration that a live host has in force; 0 if none is heard.
     pub(crate) fn newest_version(&self, now: Time) -> u64 {
-        self.census(now, |census| census.newest_version)
+        self.with_counts(now, |counts| counts.newest_version)
     }
 
     /// Number of other hosts that are live and not stopping: of each data centre those heard of late, or
     /// as many as the last one heard there knows.
     pub fn count_live(&self, now: Time) -> usize {
-        self.census(now, |census| {
-            let fresh = |word: &&DataCentreWord| now.since(word.at) < LIVE_FOR;
-            let told = |data_centre: &DataCentre| {
-                let word = self.words.get(data_centre).filter(fresh);
-                word.map_or(0, |word| word.others)
+        self.with_counts(now, |counts| {
+            let fresh =
+                |report: &&DataCentreReport| now.since(report.received_at) < LIVENESS_TIMEOUT;
+            let announced = |data_centre: &DataCentre| {
+                let report = self.data_centres.get(data_centre).filter(fresh);
+                report.map_or(0, |report| report.others)
             };
-            let heard = census.heard().iter();
-            let heard = heard.map(|(data_centre, heard)| told(data_centre).max(*heard));
-            let unheard = self.words.iter().filter(|(_, word)| fresh(word));
-            let unheard = unheard.filter(|(place, _)| !census.heard().contains_key(*place));
-            heard.sum::<usize>() + unheard.map(|(_, word)| word.others).sum::<usize>()
+            let with_reports = counts.live().iter();
+            let with_reports =
+                with_reports.map(|(data_centre, live)| announced(data_centre).max(*live));
+            let announced_only = self.data_centres.iter().filter(|(_, report)| fresh(report));
+            let announced_only =
+                announced_only.filter(|(data_centre, _)| !counts.live().contains_key(*data_centre));
+            with_reports.sum::<usize>()
+                + announced_only
+                    .map(|(_, report)| report.others)
+                    .sum::<usize>()
         })
     }
 
     /// The most live hosts that this one counts, or another one tells that it hears.
     pub(crate) fn live_max(&self, now: Time) -> u32 {
         let live = u32::try_from(self.count_live(now)).unwrap_or(u32::MAX);
-        self.census(now, |census| census.hears_most).max(live)
+        self.with_counts(now, |counts| counts.live_count_max)
+            .max(live)
     }
 
     /// Counts the live hosts; to be called in each round.
     pub(crate) fn update_size(&mut self, now: Time) {
         let live = self.count_live(now) + 1;
-        self.size.count(now, live);
+        self.size.record_own(now, live);
     }
 
     /// The most hosts that this one has counted of late, itself included.
     pub(crate) fn counted_max(&self, now: Time) -> usize {
-        self.size.counted(now)
+        self.size.own_max(now)
     }
 
     /// The hosts among which bounds of the fleet are divided: the most that are known to have been live of late, and at least
     /// the seeds.
     pub(crate) fn sharing_hosts(&self, now: Time) -> usize {
         let others = self.count_live(now).max(self.seeds.len());
-        self.size.most(now).max(others + 1)
+        self.size.max(now).max(others + 1)
     }
 
     /// Begins to fetch something from peers; false while that is under way.
@@ -476,7 +498,7 @@
 }
 
 /// A number that hosts mostly don't share.
-fn address_number(address: SocketAddr) -> usize {
+fn address_sum(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets().iter().map(|octet| usize::from(*octet)).sum(),
         IpAddr::V6(ip) => ip.segments().iter().map(|part| usize::from(*part)).sum(),
@@ -485,8 +507,8 @@
 
 impl Peer {
     fn is_live(&self, now: Time) -> bool {
-        let heard = self.heard.as_ref();
-        heard.is_some_and(|heard| now.since(heard.at) < LIVE_FOR)
+        let report = self.report.as_ref();
+        report.is_some_and(|report| now.since(report.received_at) < LIVENESS_TIMEOUT)
     }
 }
 
--- a/src/gateway/peers/fleetsize.rs
+++ b/src/gateway/peers/fleetsize.rs
@@ -9,62 +9,62 @@
 
 /// A host that was counted keeps its part for this time at least and for twice as long at most. Regions lose each other
 /// for minutes.
-const REMEMBERED: Duration = Duration::from_secs(10 * 60);
+const WINDOW: Duration = Duration::from_secs(10 * 60);
 
 /// The most hosts of late, by this host's own count and by what others tell.
 #[derive(Debug, Default)]
 pub(super) struct FleetSize {
-    counted: RecentMost,
-    told: RecentMost,
+    own: WindowedMax,
+    received: WindowedMax,
 }
 
 impl FleetSize {
     /// This host counts so many hosts, itself included.
-    pub(super) fn count(&mut self, now: Time, hosts: usize) {
-        self.counted.note(now, hosts);
+    pub(super) fn record_own(&mut self, now: Time, hosts: usize) {
+        self.own.record(now, hosts);
     }
 
     /// Another host has counted so many.
-    pub(super) fn hear(&mut self, now: Time, hosts: usize) {
-        self.told.note(now, hosts);
+    pub(super) fn receive(&mut self, now: Time, hosts: usize) {
+        self.received.record(now, hosts);
     }
 
     /// What this host tells the others. What they told is left out, or it would be remembered for ever.
-    pub(super) fn counted(&self, now: Time) -> usize {
-        self.counted.get(now)
+    pub(super) fn own_max(&self, now: Time) -> usize {
+        self.own.get(now)
     }
 
     /// The most that are known of.
-    pub(super) fn most(&self, now: Time) -> usize {
-        self.counted.get(now).max(self.told.get(now))
+    pub(super) fn max(&self, now: Time) -> usize {
+        self.own.get(now).max(self.received.get(now))
     }
 }
 
 /// The largest of the values noted in the last one or two spans of [`REMEMBERED`].
 #[derive(Debug, Default)]
-struct RecentMost {
-    began: Time,
-    most: usize,
-    most_before: usize,
+struct WindowedMax {
+    window_start: Time,
+    max: usize,
+    previous_max: usize,
 }
 
-impl RecentMost {
-    fn note(&mut self, now: Time, value: usize) {
-        let age = now.since(self.began);
-        if age >= REMEMBERED {
-            self.most_before = if age < 2 * REMEMBERED { self.most } else { 0 };
-            self.most = 0;
-            self.began = now;
+impl WindowedMax {
+    fn record(&mut self, now: Time, value: usize) {
+        let age = now.since(self.window_start);
+        if age >= WINDOW {
+            self.previous_max = if age < 2 * WINDOW { self.max } else { 0 };
+            self.max = 0;
+            self.window_start = now;
         }
-        self.most = self.most.max(value);
+        self.max = self.max.max(value);
     }
 
     fn get(&self, now: Time) -> usize {
-        let age = now.since(self.began);
-        if age < REMEMBERED {
-            self.most.max(self.most_before)
-        } else if age < 2 * REMEMBERED {
-            self.most
+        let age = now.since(self.window_start);
+        if age < WINDOW {
+            self.max.max(self.previous_max)
+        } else if age < 2 * WINDOW {
+            self.max
         } else {
             0
         }
--- a/src/gateway/peers/fleetsize/tests.rs
+++ b/src/gateway/peers/fleetsize/tests.rs
@@ -1,43 +1,43 @@
 use super::FleetSize;
-use super::REMEMBERED;
+use super::WINDOW;
 use crate::clock::Time;
 
 const START: Time = Time::from_ms(1_000);
 
 #[test]
-fn hosts_that_are_gone_count_for_as_long_as_a_cut_lasts() {
+fn departed_hosts_count_for_the_whole_window() {
     let mut size = FleetSize::default();
-    size.count(START, 6);
-    size.count(START + REMEMBERED / 2, 1);
+    size.record_own(START, 6);
+    size.record_own(START + WINDOW / 2, 1);
 
-    assert_eq!(size.most(START + REMEMBERED / 2), 6);
-    assert_eq!(size.most(START + REMEMBERED), 6);
+    assert_eq!(size.max(START + WINDOW / 2), 6);
+    assert_eq!(size.max(START + WINDOW), 6);
 }
 
 #[test]
-fn a_fleet_that_has_shrunk_is_counted_anew_in_time() {
+fn a_shrunk_fleet_is_recounted_after_the_window() {
     let mut size = FleetSize::default();
-    size.count(START, 300);
+    size.record_own(START, 300);
     for span in 1..=3 {
-        size.count(START + REMEMBERED * span, 30);
+        size.record_own(START + WINDOW * span, 30);
     }
 
-    assert_eq!(size.most(START + REMEMBERED * 3), 30);
+    assert_eq!(size.max(START + WINDOW * 3), 30);
 }
 
 #[test]
-fn a_size_that_nobody_has_counted_of_late_is_forgotten() {
+fn a_size_expires_without_new_counts() {
     let mut size = FleetSize::default();
-    size.hear(START, 6);
+    size.receive(START, 6);
 
-    assert_eq!(size.most(START + REMEMBERED * 3), 0);
+    assert_eq!(size.max(START + WINDOW * 3), 0);
 }
 
 #[test]
-fn what_others_tell_is_known_and_not_told_on() {
+fn received_counts_are_used_but_not_announced() {
     let mut size = FleetSize::default();
-    size.count(START, 2);
-    size.hear(START, 6);
+    size.record_own(START, 2);
+    size.receive(START, 6);
 
-    assert_eq!((size.most(START), size.counted(START)), (6, 2));
+    assert_eq!((size.max(START), size.own_max(START)), (6, 2));
 }
--- a/src/gateway/peers/readers.rs
+++ b/src/gateway/peers/readers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::Heard;
 use super::Peers;
+use super::Report;
 use crate::clock::Time;
 use crate::gateway::protocol::Topic;
 use crate::id::DataCentre;
@@ -16,20 +16,20 @@
 /// themselves: 29,385 calls in a play of 61 s, 10,152 with rounds of their own.
 const READER_INTERVAL_PER_HOST: Duration = Duration::from_millis(2);
 /// A reader that was silent for so long is replaced: three of its rounds.
-const READER_SILENT_FOR_MIN: Duration = Duration::from_millis(1_000);
+const READER_TIMEOUT_MIN: Duration = Duration::from_millis(1_000);
 /// and for so many of its rounds where they are longer.
-const READER_SILENT_ROUNDS: f64 = 2.5;
+const READER_TIMEOUT_ROUNDS: f64 = 2.5;
 /// Hosts that are no candidates leave it to those for so many times as long, before they read for
 /// themselves.
-const PATIENT_ROUNDS: u32 = 2;
+const NON_CANDIDATE_WAIT_FACTOR: u32 = 2;
 /// With fewer other hosts each reads the log for itself: their calls cost less than half a percent
 /// of what is served, and need no one else.
-pub(crate) const READERS_ONLY_FROM: usize = 12;
+pub(crate) const READERS_HOSTS_MIN: usize = 12;
 /// Hosts of a data centre that look for a log that is away: one, and another if it is turned away.
-const LOOKOUTS: usize = 2;
+const LOG_PROBERS: usize = 2;
 /// Hosts of a data centre that try to read the log at once where nobody is answered. With a third of
 /// the hosts turned away all of three are in 4 cases of 100, and one try takes 0.4 s or more.
-const CANDIDATES: usize = 3;
+const READER_CANDIDATES: usize = 3;
 
 impl Peers {
     /// Whether this host shall read a topic of the log. While hosts are few, each reads for itself.
@@ -48,44 +48,46 @@
         if self.is_small_fleet(now) {
             return true;
         }
-        let silent_for = self.reader_silent_for(now);
-        let is_before = |heard: &Heard| heard.host < *host && now.since(heard.at) < silent_for;
-        let reads_for_all = |heard: &Heard| {
-            let is_near = heard.data_centre == *data_centre;
-            (is_near || topic == Topic::Upstreams) && heard.reading.contains(topic)
+        let timeout = self.reader_timeout(now);
+        let is_before =
+            |report: &Report| report.host < *host && now.since(report.received_at) < timeout;
+        let reads_for_all = |report: &Report| {
+            let is_local = report.data_centre == *data_centre;
+            (is_local || topic == Topic::Upstreams) && report.reading.contains(topic)
         };
         if self
             .live_readers(now)
-            .any(|heard| is_before(heard) && reads_for_all(heard))
+            .any(|report| is_before(report) && reads_for_all(report))
         {
             return false;
         }
-        let near = self.live_hosts_in(now, data_centre);
-        let candidates = near.filter(|heard| is_before(heard) && !heard.unreadable.contains(topic));
-        candidates.take(CANDIDATES).count() < CANDIDATES
+        let local = self.live_reports_in(now, data_centre);
+        let candidates =
+            local.filter(|report| is_before(report) && !report.unreadable.contains(topic));
+        candidates.take(READER_CANDIDATES).count() < READER_CANDIDATES
     }
 
     /// Whether a host that reads a topic of the log was heard a moment ago.
     pub fn has_live_reader(&self, now: Time, topic: Topic) -> bool {
-        self.has_reader_within(now, topic, self.reader_silent_for(now))
+        self.has_reader_within(now, topic, self.reader_timeout(now))
     }
 
     /// Whether such a host was heard lately enough that a host which is no candidate waits for its word.
     pub(crate) fn awaits_reader(&self, now: Time, topic: Topic) -> bool {
-        let patience = self.reader_silent_for(now) * PATIENT_ROUNDS;
-        self.has_reader_within(now, topic, patience)
+        let timeout = self.reader_timeout(now) * NON_CANDIDATE_WAIT_FACTOR;
+        self.has_reader_within(now, topic, timeout)
     }
 
     /// Whether such a host was heard within this time.
     pub(crate) fn has_reader_within(&self, now: Time, topic: Topic, within: Duration) -> bool {
         self.live_readers(now)
-            .any(|heard| heard.reading.contains(topic) && now.since(heard.at) < within)
+            .any(|report| report.reading.contains(topic) && now.since(report.received_at) < within)
     }
 
-    fn live_readers(&self, now: Time) -> impl Iterator<Item = &Heard> {
+    fn live_readers(&self, now: Time) -> impl Iterator<Item = &Report> {
         let readers = self.readers.iter();
-        let heard = readers.filter_map(|address| self.heard(address));
-        heard.filter(move |heard| heard.is_live(now))
+        let reports = readers.filter_map(|address| self.report_of(address));
+        reports.filter(move |report| report.is_live(now))
     }
 
     /// How often a host that reads the log for others sends to them.
@@ -94,9 +96,9 @@
         READER_INTERVAL_MIN.max(READER_INTERVAL_PER_HOST.saturating_mul(hosts))
     }
 
-    pub(super) fn reader_silent_for(&self, now: Time) -> Duration {
-        let rounds = self.reader_interval(now).mul_f64(READER_SILENT_ROUNDS);
-        READER_SILENT_FOR_MIN.max(rounds)
+    pub(super) fn reader_timeout(&self, now: Time) -> Duration {
+        let rounds = self.reader_interval(now).mul_f64(READER_TIMEOUT_ROUNDS);
+        READER_TIMEOUT_MIN.max(rounds)
     }
 
     /// Whether this host is among the first by name of the live hosts of its data centre: those look
@@ -106,17 +108,17 @@
         if self.is_small_fleet(now) {
             return true;
         }
-        let near = self.live_hosts_in(now, data_centre);
-        let before = near.filter(|heard| heard.host < *host);
-        before.take(LOOKOUTS).count() < LOOKOUTS
+        let local = self.live_reports_in(now, data_centre);
+        let before = local.filter(|report| report.host < *host);
+        before.take(LOG_PROBERS).count() < LOG_PROBERS
     }
 
     /// Whether hosts are so few that each reads the log for itself. A host that has just started hears
     /// few others at first, so what these hear counts too: hundreds that start together would each follow
     /// the whole log for seconds (7,492 calls of 295 hosts by second 6 of one play, of 10,152 in all).
     pub(crate) fn is_small_fleet(&self, now: Time) -> bool {
-        let told = self.census(now, |census| census.hears_most);
-        let told = usize::try_from(told).unwrap_or(usize::MAX);
-        self.count_live(now).max(told) < READERS_ONLY_FROM
+        let announced = self.with_counts(now, |counts| counts.live_count_max);
+        let announced = usize::try_from(announced).unwrap_or(usize::MAX);
+        self.count_live(now).max(announced) < READERS_HOSTS_MIN
     }
 }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -1,9 +1,9 @@
-mod census;
+mod expiry;
 mod fleet;
-mod looks;
-mod reading;
+mod livecounts;
+mod lookups;
+mod readers;
 mod relays;
-mod remembering;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -52,12 +52,16 @@
 fn peers() -> Peers {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..20 {
-        peers.receive(Time::ZERO, address(index), &datagram(index, zone(index)));
+        peers.receive(
+            Time::ZERO,
+            address(index),
+            &datagram(index, data_centre_of(index)),
+        );
     }
     peers
 }
 
-fn zone(index: usize) -> &'static str {
+fn data_centre_of(index: usize) -> &'static str {
     match index % 2 {
         0 => "north",
         _ => "south",
@@ -65,7 +69,7 @@
 }
 
 #[test]
-fn silent_and_stopping_hosts_count_no_more() {
+fn silent_and_stopping_hosts_are_not_counted() {
     let mut peers = peers();
     let mut stopping = datagram(3, "south");
     stopping.stopping = true;
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn seeds_are_tried_until_they_are_known_and_again_when_they_are_forgotten() {
+fn seeds_stay_targets_after_they_expire() {
     let seed = "10.0.0.1:8000".parse().unwrap();
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[seed]);
     let at_first = peers.targets(Time::ZERO, Recipients::All);
@@ -91,7 +95,7 @@
 }
 
 #[test]
-fn a_near_round_leaves_the_other_data_centres_out() {
+fn a_local_round_excludes_other_data_centres() {
     let mut peers = peers();
 
     let near = peers.targets(Time::ZERO, Recipients::Local);
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn a_datagram_that_is_too_large_loses_its_smallest_loads() {
+fn an_oversized_datagram_drops_its_smallest_loads() {
     let mut large = datagram(1, "north");
     let loads = (0..200).map(|index| {
         let load = Load {
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn the_silence_of_other_data_centres_lasts_since_the_last_word_of_any() {
+fn remote_silence_ends_with_a_datagram_of_any_other_data_centre() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     peers.receive(Time::from_ms(100), address(1), &datagram(1, "north"));
     assert_eq!(peers.remote_silence(Time::from_ms(900)), None);
@@ -147,7 +151,7 @@
 }
 
 #[test]
-fn holders_that_were_heard_a_moment_ago_are_asked_first() {
+fn holders_with_recent_datagrams_are_asked_first() {
     let mut peers = peers();
     let later = Time::from_ms(1_500);
     peers.receive(later, address(3), &datagram(3, "south"));
@@ -162,7 +166,7 @@
 // At 295 hosts each told all of other data centres what it ran, 131 datagrams a second, and each had to
 // hear all to count them.
 #[test]
-fn the_word_of_one_host_stands_for_its_data_centre() {
+fn the_report_of_one_host_counts_for_its_data_centre() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     let mut far = datagram(1, "south");
     far.hears_near = 58;
@@ -179,7 +183,7 @@
 }
 
 #[test]
-fn all_hosts_of_another_data_centre_are_told_in_turn_and_who_reads_for_all_each_time() {
+fn remote_partners_rotate_and_always_include_the_reader() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..9 {
         peers.receive(Time::ZERO, address(index), &datagram(index, "south"));
@@ -194,18 +198,18 @@
         partners.flatten().collect::<Vec<SocketAddr>>()
     });
 
-    let told: std::collections::BTreeSet<_> = rounds.iter().flatten().copied().collect();
+    let announced: std::collections::BTreeSet<_> = rounds.iter().flatten().copied().collect();
     assert!(
         rounds
             .iter()
             .all(|round| round.len() == 4 && round.contains(&address(9)))
     );
-    assert_eq!(told.len(), 10);
-    assert!(!told.contains(&address(10)));
+    assert_eq!(announced.len(), 10);
+    assert!(!announced.contains(&address(10)));
 }
 
 #[test]
-fn a_stranger_that_knows_few_is_answered_with_those_it_shall_hear() {
+fn a_newcomer_is_answered_with_hosts_to_contact() {
     let mut peers = peers();
     let mut newcomer = datagram(30, "north");
     newcomer.hears = 3;
@@ -214,12 +218,12 @@
 
     let started = peers.receive(Time::ZERO, address(30), &newcomer);
     let again = peers.receive(Time::ZERO, address(30), &newcomer);
-    let arrived = peers.receive(Time::ZERO, address(31), &known);
+    let experienced = peers.receive(Time::ZERO, address(31), &known);
     let introduced = peers.introductions(Time::ZERO, &DataCentre::new("north"));
 
     assert!(started.is_unknown && started.is_newcomer);
     assert!(!again.is_unknown);
-    assert!(arrived.is_unknown && !arrived.is_newcomer);
+    assert!(experienced.is_unknown && !experienced.is_newcomer);
     assert_eq!(
         peers
             .bootstrap_hosts(Time::ZERO, &DataCentre::new("north"))
@@ -235,7 +239,7 @@
 }
 
 #[test]
-fn introductions_are_taken_while_few_hosts_of_the_data_centre_are_known() {
+fn introductions_are_accepted_while_few_hosts_are_known() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     let mut introducing = datagram(1, "south");
     introducing.introduced = (2..6)
@@ -255,10 +259,10 @@
 }
 
 #[test]
-fn a_configuration_is_fetched_near_where_a_near_host_has_it() {
+fn a_configuration_is_fetched_locally_if_a_local_host_has_it() {
     let mut peers = peers();
     for index in [0, 1, 3] {
-        let mut newer = datagram(index, zone(index));
+        let mut newer = datagram(index, data_centre_of(index));
         newer.config = 4;
         peers.receive(Time::from_ms(10), address(index), &newer);
     }
@@ -270,7 +274,7 @@
 
 // Of 22 upstreams that left in one moment a datagram told the last 12; all hosts then fetched the list.
 #[test]
-fn dozens_of_changes_are_told_in_several_datagrams() {
+fn many_changes_are_split_over_several_datagrams() {
     let mut many = datagram(1, "north");
     many.changes = (0..45).map(change).collect();
 
@@ -278,9 +282,10 @@
 
     let sizes = parts.iter().map(|part| encode(part.clone()).len());
     assert!(sizes.max().unwrap() <= 1_400);
-    let told = parts.iter().flat_map(|part| &part.changes);
+    let announced = parts.iter().flat_map(|part| &part.changes);
     assert_eq!(
-        told.map(|change| change.position.offset)
+        announced
+            .map(|change| change.position.offset)
             .collect::<Vec<u64>>(),
         (0..45).collect::<Vec<u64>>()
     );
@@ -306,7 +311,7 @@
 }
 
 #[test]
-fn one_host_of_all_is_chosen_and_another_for_something_else() {
+fn exactly_one_host_is_chosen_for_each_task() {
     let hosts: Vec<(usize, &str)> = (0..24)
         .map(|index| (index, ["north", "south", "west"][index % 3]))
         .collect();
@@ -333,13 +338,13 @@
 
 // Hosts of other data centres took what was told of loads for news of the log without the news, and fetched that.
 #[test]
-fn what_is_told_of_loads_claims_nothing_of_the_log() {
-    let told = datagram(1, "north");
+fn load_datagrams_announce_no_log_position() {
+    let announced = datagram(1, "north");
 
     let of_loads = [
-        told.of_visitor(Vec::new()),
-        told.that_asks(),
-        told.that_answers(Vec::new()),
+        announced.of_visitor(Vec::new()),
+        announced.that_asks(),
+        announced.that_answers(Vec::new()),
     ];
 
     for datagram in of_loads {
--- a/src/gateway/peers/tests/fleet.rs
+++ b/src/gateway/peers/tests/fleet.rs
@@ -9,7 +9,6 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::datagram;
 use crate::clock::Time;
 use crate::gateway::datagram::Datagram;
 use crate::gateway::gossip::FAR_INTERVAL;
@@ -27,7 +26,7 @@
     peers: Peers,
     data_centre: DataCentre,
     address: SocketAddr,
-    last_far: Option<Time>,
+    last_remote: Option<Time>,
     sent: usize,
 }
 
@@ -64,7 +63,7 @@
                 peers: Peers::new(address(index), data_centre.clone(), &seeds),
                 data_centre,
                 address: address(index),
-                last_far: None,
+                last_remote: None,
                 sent: 0,
             }
         });
@@ -93,53 +92,53 @@
     fn round(&mut self, now: Time, index: usize) {
         let host = &mut self.hosts[index];
         let is_small = host.peers.is_small_fleet(now);
-        let audience = if is_small {
+        let recipients = if is_small {
             Recipients::All
         } else {
             Recipients::Local
         };
-        let targets = host.peers.targets(now, audience).into_iter();
-        let (unheard, heard): (Vec<_>, Vec<_>) =
+        let targets = host.peers.targets(now, recipients).into_iter();
+        let (unconfirmed, confirmed): (Vec<_>, Vec<_>) =
             targets.partition(|target| host.peers.is_unconfirmed(target));
-        let is_far_due = host
-            .last_far
+        let is_remote_due = host
+            .last_remote
             .is_none_or(|last| now.since(last) >= FAR_INTERVAL);
-        let far = match !is_small && is_far_due {
+        let far = match !is_small && is_remote_due {
             true => {
-                host.last_far = Some(now);
+                host.last_remote = Some(now);
                 let partners = host.peers.remote_partners(now);
                 partners.into_values().flatten().collect()
             }
             false => Vec::new(),
         };
-        let told = host.tell(now);
-        self.send(now, index, &unheard, &told.that_introduces());
-        self.send(now, index, &heard, &told);
-        let told_far = told.of_data_centre(Vec::new(), Vec::new());
-        self.send(now, index, &far, &told_far);
+        let datagram = host.announce(now);
+        self.send(now, index, &unconfirmed, &datagram.that_introduces());
+        self.send(now, index, &confirmed, &datagram);
+        let remote_datagram = datagram.of_data_centre(Vec::new(), Vec::new());
+        self.send(now, index, &far, &remote_datagram);
     }
 
-    fn send(&mut self, now: Time, from: usize, targets: &[SocketAddr], told: &Datagram) {
+    fn send(&mut self, now: Time, from: usize, targets: &[SocketAddr], datagram: &Datagram) {
         self.hosts[from].sent += targets.len();
         for target in targets {
             if !self.random.random_bool(LOSS) {
-                self.deliver(now, from, index_of(*target), told);
+                self.deliver(now, from, index_of(*target), datagram);
             }
         }
     }
 
-    fn deliver(&mut self, now: Time, from: usize, to: usize, told: &Datagram) {
+    fn deliver(&mut self, now: Time, from: usize, to: usize, datagram: &Datagram) {
         let sender = self.hosts[from].address;
         let host = &mut self.hosts[to];
-        let acquaintance = host.peers.receive(now, sender, told);
-        if !acquaintance.lacks_hosts {
+        let status = host.peers.receive(now, sender, datagram);
+        if !status.lacks_hosts {
             return;
         }
         self.answered += 1;
-        let mut answer = host.tell(now);
-        answer.introduced = host.peers.introductions(now, &told.data_centre);
-        if acquaintance.is_newcomer {
-            answer.hosts = host.peers.bootstrap_hosts(now, &told.data_centre);
+        let mut answer = host.announce(now);
+        answer.introduced = host.peers.introductions(now, &datagram.data_centre);
+        if status.is_newcomer {
+            answer.hosts = host.peers.bootstrap_hosts(now, &datagram.data_centre);
         }
         self.send(now, to, &[sender], &answer);
     }
@@ -161,21 +160,21 @@
 }
 
 impl Host {
-    fn tell(&mut self, now: Time) -> Datagram {
-        let mut told = datagram(0, self.data_centre.as_str());
-        told.host = HostId::new(format!("host-{}", self.address));
-        told.hears = self.peers.count_live(now) as u32;
-        told.hears_near = self.peers.count_local(now) as u32;
-        told.hosts = self.peers.announced_hosts(now);
-        told.lacks_hosts = self.peers.lacks_hosts();
-        told
+    fn announce(&mut self, now: Time) -> Datagram {
+        let mut datagram = super::datagram(0, self.data_centre.as_str());
+        datagram.host = HostId::new(format!("host-{}", self.address));
+        datagram.hears = self.peers.count_live(now) as u32;
+        datagram.hears_near = self.peers.count_local(now) as u32;
+        datagram.hosts = self.peers.announced_hosts(now);
+        datagram.lacks_hosts = self.peers.lacks_hosts();
+        datagram
     }
 }
 
 // What a host sent grew with the fleet: 181 datagrams a second at 295 hosts, and rounds came more seldom
 // than a host counts as live at 1,000.
 #[test]
-fn a_host_sends_no_more_and_counts_right_in_a_larger_fleet() {
+fn send_rate_and_counting_hold_in_a_larger_fleet() {
     let mut sent = Vec::new();
     for (count, data_centres) in [(75, 3), (150, 6)] {
         let mut fleet = Fleet::start(count, data_centres);
@@ -199,7 +198,7 @@
 // Hosts of other data centres are heard seldom in a large fleet, so each was a stranger whenever it was heard, was
 // answered, and answered in turn: three datagrams between data centres for each that told something.
 #[test]
-fn hosts_that_know_each_others_data_centres_are_not_answered_whenever_they_are_heard() {
+fn remote_datagrams_are_not_answered_once_hosts_are_known() {
     let mut fleet = Fleet::start(160, 2);
     fleet.run_until(Time::from_ms(12_000));
     let answered = fleet.answered;
--- a/src/gateway/peers/tests/census.rs
+++ b/src/gateway/peers/tests/livecounts.rs
@@ -7,23 +7,23 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::address;
+use super::data_centre_of;
 use super::datagram;
-use super::zone;
 use crate::clock::Time;
-use crate::gateway::peers::LIVE_FOR;
+use crate::gateway::peers::LIVENESS_TIMEOUT;
 use crate::gateway::peers::Peers;
 use crate::id::DataCentre;
 
 // Each datagram walked all hosts, so a host paid hosts times datagrams.
 #[test]
-fn counts_kept_as_hosts_come_stop_and_fall_silent_are_those_of_a_walk() {
+fn incremental_counts_match_a_full_count() {
     let mut random = ChaCha8Rng::seed_from_u64(11);
     let mut peers = Peers::new(address(200), DataCentre::new("north"), &[]);
     let mut known: BTreeMap<usize, (Time, bool, u64)> = BTreeMap::new();
     for step in 0..4_000 {
         let now = Time::from_ms(20 * step);
         let index = random.random_range(0..150);
-        let mut datagram = datagram(index, zone(index));
+        let mut datagram = datagram(index, data_centre_of(index));
         datagram.stopping = random.random_bool(0.2);
         datagram.config = random.random_range(0..50);
         known.insert(index, (now, datagram.stopping, datagram.config));
@@ -34,9 +34,11 @@
 
         let live: Vec<_> = known
             .iter()
-            .filter(|(_, (at, stopping, _))| now.since(*at) < LIVE_FOR && !stopping)
+            .filter(|(_, (at, stopping, _))| now.since(*at) < LIVENESS_TIMEOUT && !stopping)
             .collect();
-        let near = live.iter().filter(|(index, _)| zone(**index) == "north");
+        let near = live
+            .iter()
+            .filter(|(index, _)| data_centre_of(**index) == "north");
         let newest = live.iter().map(|(_, (_, _, config))| *config).max();
         assert_eq!(peers.count_live(now), live.len(), "step {step}");
         assert_eq!(peers.count_local(now), near.count(), "step {step}");
--- a/src/gateway/peers/tests/looks.rs
+++ b/src/gateway/peers/tests/lookups.rs
@@ -15,7 +15,7 @@
     SocketAddr::from(([10, 0, (index / 250) as u8, (index % 250) as u8], 7_200))
 }
 
-fn told_by(index: usize) -> Datagram {
+fn datagram_from(index: usize) -> Datagram {
     Datagram {
         host: HostId::new(format!("host-{index:04}")),
         ..datagram(1, DATA_CENTRES[index % DATA_CENTRES.len()])
@@ -23,45 +23,45 @@
 }
 
 /// The first host of a fleet of so many, which has heard all the others.
-fn host_of(fleet: usize) -> Peers {
+fn host_in_fleet_of(fleet: usize) -> Peers {
     let mut peers = Peers::new(address(0), DataCentre::new(DATA_CENTRES[0]), &[]);
     for index in 1..fleet {
-        peers.receive(Time::ZERO, address(index), &told_by(index));
+        peers.receive(Time::ZERO, address(index), &datagram_from(index));
     }
     peers
 }
 
 /// How many hosts `act` looks up.
-fn looks(peers: &mut Peers, act: impl FnOnce(&mut Peers)) -> usize {
-    let before = peers.looks.get();
+fn lookups(peers: &mut Peers, act: impl FnOnce(&mut Peers)) -> usize {
+    let before = peers.lookups.get();
     act(peers);
-    peers.looks.get() - before
+    peers.lookups.get() - before
 }
 
 // Each of a thousand hosts that start together introduces itself to hundreds, and each looked at all hosts for each
 // data centre that it was told of.
 #[test]
-fn a_stranger_costs_as_many_looks_in_a_fleet_of_a_thousand_as_in_one_of_sixty() {
-    let looks_in = |fleet: usize| {
-        let mut peers = host_of(fleet);
+fn lookups_for_an_unknown_host_do_not_grow_with_the_fleet() {
+    let lookups_in = |fleet: usize| {
+        let mut peers = host_in_fleet_of(fleet);
         let introduced = (1..17).map(|index| {
             let data_centre = DataCentre::new(DATA_CENTRES[index % DATA_CENTRES.len()]);
             (data_centre, address(index))
         });
-        let stranger = Datagram {
+        let unknown = Datagram {
             introduced: introduced.collect(),
-            ..told_by(fleet)
+            ..datagram_from(fleet)
         };
-        looks(&mut peers, |peers| {
-            peers.receive(Time::ZERO, address(fleet), &stranger);
-            peers.introductions(Time::ZERO, &stranger.data_centre);
+        lookups(&mut peers, |peers| {
+            peers.receive(Time::ZERO, address(fleet), &unknown);
+            peers.introductions(Time::ZERO, &unknown.data_centre);
             peers.announced_hosts(Time::ZERO);
         })
     };
 
-    let small = looks_in(60);
+    let small = lookups_in(60);
 
     for fleet in [300, 1_000] {
-        assert!(looks_in(fleet) <= small, "{fleet} hosts: {small}");
+        assert!(lookups_in(fleet) <= small, "{fleet} hosts: {small}");
     }
 }
--- a/src/gateway/peers/tests/reading.rs
+++ b/src/gateway/peers/tests/readers.rs
@@ -1,10 +1,10 @@
 //! Who reads the log, and who leaves it to others.
 
 use super::address;
+use super::data_centre_of;
 use super::datagram;
 use super::host;
 use super::peers;
-use super::zone;
 use crate::clock::Time;
 use crate::gateway::peers::Peers;
 use crate::gateway::protocol::Topic;
@@ -17,14 +17,18 @@
 }
 
 fn is_reader(peers: &Peers, now: Time, index: usize) -> bool {
-    is_reader_in(peers, now, index, zone(index))
+    is_reader_in(peers, now, index, data_centre_of(index))
 }
 
 #[test]
 fn the_first_host_of_a_data_centre_reads() {
     let mut peers = Peers::new(address(0), DataCentre::new("north"), &[]);
     for index in 1..20 {
-        peers.receive(Time::ZERO, address(index), &datagram(index, zone(index)));
+        peers.receive(
+            Time::ZERO,
+            address(index),
+            &datagram(index, data_centre_of(index)),
+        );
     }
 
     assert!(is_reader(&peers, Time::ZERO, 0));
@@ -36,7 +40,11 @@
     let mut peers = peers();
     let later = Time::from_ms(1_200);
     for index in 1..20 {
-        peers.receive(later, address(index), &datagram(index, zone(index)));
+        peers.receive(
+            later,
+            address(index),
+            &datagram(index, data_centre_of(index)),
+        );
     }
 
     // Of the north, host 0 is silent and host 2 would be next.
@@ -45,11 +53,11 @@
 }
 
 #[test]
-fn a_reader_whom_the_log_turns_away_is_replaced() {
+fn a_reader_that_the_log_refuses_is_replaced() {
     let mut peers = peers();
-    let mut turned_away = datagram(0, "north");
-    turned_away.unreadable.operator = true;
-    peers.receive(Time::ZERO, address(0), &turned_away);
+    let mut unanswered = datagram(0, "north");
+    unanswered.unreadable.operator = true;
+    peers.receive(Time::ZERO, address(0), &unanswered);
 
     assert!(is_reader_in(&peers, Time::ZERO, 1, "north"));
 }
@@ -73,18 +81,23 @@
 }
 
 #[test]
-fn two_hosts_of_a_data_centre_look_out_for_a_log_that_is_away() {
+fn two_hosts_of_a_data_centre_probe_an_unreachable_log() {
     let peers = peers();
-    let is_lookout =
-        |index: usize| peers.is_log_prober(Time::ZERO, &host(index), &DataCentre::new(zone(index)));
+    let is_log_prober = |index: usize| {
+        peers.is_log_prober(
+            Time::ZERO,
+            &host(index),
+            &DataCentre::new(data_centre_of(index)),
+        )
+    };
 
-    let lookouts: Vec<usize> = (0..20).filter(|index| is_lookout(*index)).collect();
+    let probers: Vec<usize> = (0..20).filter(|index| is_log_prober(*index)).collect();
 
-    assert_eq!(lookouts, [0, 1, 2, 3]);
+    assert_eq!(probers, [0, 1, 2, 3]);
 }
 
 #[test]
-fn a_few_hosts_read_each_for_itself() {
+fn in_a_small_fleet_each_host_reads() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..8 {
         peers.receive(Time::ZERO, address(index), &datagram(index, "north"));
@@ -109,7 +122,7 @@
 // At 295 hosts rounds came 1.18 s apart, and each host took the reader for silent after 1 s: 29,385 calls
 // to the log in a minute, nearly all of hosts that were no readers.
 #[test]
-fn a_reader_is_not_replaced_for_one_lost_datagram_whatever_the_size_of_the_fleet() {
+fn a_reader_survives_one_lost_datagram_at_any_fleet_size() {
     let north = DataCentre::new("north");
     for count in [13, 78, 295, 600] {
         let peers = fleet_of(count);
@@ -125,7 +138,7 @@
 }
 
 #[test]
-fn a_host_that_is_no_candidate_waits_longer_for_a_readers_word() {
+fn a_host_that_is_no_candidate_waits_longer_for_a_reader() {
     let peers = fleet_of(78);
     let silent = Time::from_ms(1_500);
 
@@ -137,7 +150,7 @@
 // 295 hosts that started together made 7,492 calls to the log in 20 s: each followed it until it had heard
 // twelve others by itself.
 #[test]
-fn a_host_that_has_just_started_leaves_reading_to_a_fleet_that_one_other_hears() {
+fn a_newcomer_does_not_read_if_a_peer_announces_a_large_fleet() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     let mut seed = datagram(1, "north");
     seed.hears = 200;
@@ -155,17 +168,22 @@
 // A reader that not all have heard goes on reading beside the one before it by name, and neither hears
 // of the other: hosts of a large fleet know a part of the other data centres only.
 #[test]
-fn in_a_large_fleet_neighbours_tell_each_other_who_reads_for_all() {
+fn in_a_large_fleet_local_hosts_announce_the_upstreams_reader() {
     let mut peers = peers();
     let mut reader = datagram(40, "south");
     reader.reading.upstreams = true;
     peers.receive(Time::ZERO, address(40), &reader);
 
-    let told = [0, 1, 2].map(|_| peers.announced_hosts(Time::ZERO));
+    let announced = [0, 1, 2].map(|_| peers.announced_hosts(Time::ZERO));
 
-    assert!(told.iter().all(|told| told.contains(&address(40))));
     assert!(
-        told.iter()
+        announced
+            .iter()
+            .all(|announced| announced.contains(&address(40)))
+    );
+    assert!(
+        announced
+            .iter()
             .flatten()
             .all(|host| *host == address(40) || is_in_north(*host))
     );
--- a/src/gateway/peers/tests/relays.rs
+++ b/src/gateway/peers/tests/relays.rs
@@ -24,48 +24,48 @@
             datagram
         })
         .collect();
-    let hear_all = |own: usize| {
+    let receive_all = |own: usize| {
         let mut peers = Peers::new(address(own), north.clone(), &[]);
         for (index, datagram) in datagrams.iter().enumerate().filter(|(at, _)| *at != own) {
             peers.receive(Time::ZERO, address(index), datagram);
         }
         peers
     };
-    (0..count).map(hear_all).collect()
+    (0..count).map(receive_all).collect()
 }
 
 /// After how many hops each host has what `root` passes on, and the most that one host sends.
-fn spread(hosts: &[Peers], root: usize) -> (BTreeMap<SocketAddr, usize>, usize) {
+fn relay_from(hosts: &[Peers], root: usize) -> (BTreeMap<SocketAddr, usize>, usize) {
     let mut hops = BTreeMap::from([(address(root), 0)]);
     let mut waiting = VecDeque::from([root]);
-    let mut sends_most = 0;
+    let mut max_sends = 0;
     while let Some(index) = waiting.pop_front() {
-        let behind = hosts[index].relay_children(Time::ZERO, address(root));
-        sends_most = sends_most.max(behind.len());
-        let passed = hops[&address(index)] + 1;
-        for child in behind {
+        let children = hosts[index].relay_children(Time::ZERO, address(root));
+        max_sends = max_sends.max(children.len());
+        let next_hops = hops[&address(index)] + 1;
+        for child in children {
             let next = (0..hosts.len()).find(|other| address(*other) == child);
-            if hops.insert(child, passed).is_none() {
+            if hops.insert(child, next_hops).is_none() {
                 waiting.extend(next);
             }
         }
     }
-    (hops, sends_most)
+    (hops, max_sends)
 }
 
 // One host told a thousand others of each of hundreds of changes a second.
 #[test]
-fn changes_reach_all_hosts_of_a_data_centre_in_a_few_hops_and_nobody_sends_to_many() {
+fn relayed_changes_reach_all_hosts_in_few_hops_with_few_sends_each() {
     for count in [1, 2, 30, 80, 250] {
         let hosts = hosts(count);
         for root in [0, count / 3, count - 1] {
-            let (hops, sends_most) = spread(&hosts, root);
+            let (hops, max_sends) = relay_from(&hosts, root);
 
             let deepest = hops.values().max().copied().unwrap_or(0);
             assert_eq!(hops.len(), count, "from {root}");
             assert!(
-                sends_most <= 4 && deepest <= 4,
-                "{sends_most} sent, {deepest} hops"
+                max_sends <= 4 && deepest <= 4,
+                "{max_sends} sent, {deepest} hops"
             );
         }
     }
--- a/src/gateway/relayedchanges/tests.rs
+++ b/src/gateway/relayedchanges/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_wave_of_upstreams_is_one_line_with_its_counts_and_the_first_of_them() {
+fn changes_are_summarised_in_one_entry() {
     let mut changes = RelayedChanges::default();
     for index in 0..10 {
         changes.record(
