--- a/src/gateway/identity.rs
+++ b/src/gateway/identity.rs
@@ -1,4 +1,4 @@
-//! Second filter: whose request it is.
+//! Second filter of a request: identifies its customer by the API key.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use crate::gateway::configuration::Customer;
 use crate::gateway::route::Route;
 
-/// Whose request it is.
+/// The caller of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// The customer that holds the key.
+    /// The customer that the key belongs to.
     Known(Arc<Customer>),
-    /// Nobody in particular: the route is public or keys are not used.
+    /// No customer: the route is public, or the configuration has no keys.
     Anonymous,
-    /// The key is missing or names no customer.
+    /// The key is missing or belongs to no customer.
     Unauthorized,
 }
 
-/// Looks the caller's key up.
+/// Identifies the caller by the key in the `Authorization` header.
 pub fn identify(
     configuration: &Configuration,
     route: &Route,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The key after the scheme, whose case doesn't matter.
+/// Returns the key after `scheme`, which is compared without regard to case.
 fn parse_key<'v>(value: &'v str, scheme: &str) -> Option<&'v str> {
     let (given, key) = value.trim().split_once(' ')?;
     given.eq_ignore_ascii_case(scheme).then(|| key.trim())
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,7 +1,9 @@
-//! The other hosts, as their datagrams tell of them: who is live, who reads the log, who has what.
+//! Tracks the other hosts by their datagrams: which are live, which read the log and which versions
+//! they hold.
 //!
-//! The hosts of a data centre all hear each other. Of other data centres a host of a large fleet hears
-//! a few hosts at a time, whose reports stand for their data centre ([`crate::gateway::gossip`]).
+//! Each host receives the datagrams of all hosts of its own data centre. In a large fleet it receives
+//! those of only a few hosts of each other data centre at a time, whose reports count for the whole
+//! data centre ([`crate::gateway::gossip`]).
 
 #[cfg(test)]
 use std::cell::Cell;
@@ -23,9 +25,10 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// A host that was not heard for so long counts no more: two rounds to other data centres.
+/// Silence after which a host no longer counts as live: two gossip rounds to other data centres.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Who knows so many of another data centre, of whom each tells others in turn, needs no introduction.
+/// Known hosts of another data centre from which on no introductions to more are needed: each of these
+/// announces others in turn.
 const KNOWN_HOSTS_MIN: usize = 8;
 
 mod expiry;
@@ -40,23 +43,23 @@
 pub(crate) use self::partners::REMOTE_PARTNERS;
 pub use self::partners::Recipients;
 
-/// What a host fetches from peers. A long transfer of one doesn't hold up the other.
+/// A kind of transfer from peers. A long transfer of one kind doesn't delay the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Fetch {
     /// A newer configuration.
     Configuration,
-    /// The list of upstreams, or its changes.
+    /// The list of upstreams or its changes.
     Upstreams,
 }
 
-/// What is known of another host.
+/// Another host, known by its address and perhaps by its last report.
 #[derive(Debug, Clone)]
 struct Peer {
     added_at: Time,
     report: Option<Report>,
 }
 
-/// What a host's last datagram said.
+/// The contents of the last datagram of a host.
 #[derive(Debug, Clone)]
 struct Report {
     received_at: Time,
@@ -92,24 +95,24 @@
     }
 }
 
-/// What was last told of a whole data centre.
+/// The last report on a whole data centre.
 #[derive(Debug, Clone, Copy)]
 struct DataCentreReport {
     received_at: Time,
-    /// Hosts there that are live, but not this one.
+    /// Live hosts of the data centre, without this one.
     others: usize,
 }
 
-/// What a datagram shows of its sender.
+/// What a datagram shows about its sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SenderStatus {
-    /// A host of the own data centre, or its whole data centre, is new or back.
+    /// The sender is new or back after a silence; for a remote sender, its whole data centre is.
     pub has_joined: bool,
-    /// It was not known, and may not know this host.
+    /// No datagram of the sender was known, so it may not know this host either.
     pub is_unknown: bool,
-    /// It was not known, and knows less than half of the hosts that this one knows.
+    /// The sender was unknown and counts less than half as many live hosts as this one.
     pub is_newcomer: bool,
-    /// It was not known, and lacks hosts that this one can tell it of.
+    /// The sender was unknown and lacks hosts that this one can announce to it.
     pub lacks_hosts: bool,
 }
 
@@ -120,25 +123,25 @@
     data_centre: DataCentre,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<SocketAddr, Peer>,
-    /// Those of `peers` that were heard, by data centre.
+    /// Addresses of the `peers` with a report, by data centre.
     by_data_centre: BTreeMap<DataCentre, BTreeSet<SocketAddr>>,
-    /// Those of `peers` that read the log.
+    /// Addresses of the `peers` that read the log.
     readers: BTreeSet<SocketAddr>,
     counts: RefCell<Option<LiveCounts>>,
-    /// What was last heard of each data centre.
+    /// The last report on each data centre.
     data_centres: BTreeMap<DataCentre, DataCentreReport>,
     size: FleetSize,
     rotation: usize,
     remote_rotation: usize,
     relay_rotation: usize,
     fetching: BTreeSet<Fetch>,
-    /// Hosts looked up by address.
+    /// Number of lookups of a host by its address.
     #[cfg(test)]
     lookups: Cell<usize>,
 }
 
 impl Peers {
-    /// Knows nobody but the seeds; their datagrams arrive at the same port as this host's.
+    /// Starts with the seeds alone. They receive datagrams at the same port as this host.
     pub fn new(own: SocketAddr, data_centre: DataCentre, seeds: &[SocketAddr]) -> Self {
         let seeds = seeds
             .iter()
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Addresses of hosts, by hearsay.
+    /// Adds addresses of hosts from which no datagram has arrived yet.
     pub fn add_addresses(&mut self, now: Time, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if address == self.own_address {
@@ -177,7 +180,7 @@
         }
     }
 
-    /// A datagram came from `address`.
+    /// Applies a datagram received from `address` and returns what it shows about its sender.
     pub fn receive(&mut self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
         let sender = self.sender_status(now, address, datagram);
         let is_local = datagram.data_centre == self.data_centre;
@@ -203,7 +206,7 @@
         sender
     }
 
-    /// Takes what a host says of itself.
+    /// Stores the report of a host and updates the cached counts.
     fn store_report(&mut self, now: Time, address: SocketAddr, report: Report) {
         if report.reading == Topics::default() {
             self.readers.remove(&address);
@@ -228,7 +231,7 @@
             let has_decreased =
                 before.live_count > live_count || before.config_version > config_version;
             match self.counts.get_mut() {
-                // It may have been the one with the most.
+                // The previous report may have held the maximum, so all hosts are counted again.
                 counts if has_decreased => *counts = None,
                 Some(counts) if before.is_live(now) => counts.decrement(&before.data_centre),
                 Some(_) | None => {}
@@ -250,7 +253,7 @@
         }
     }
 
-    /// Runs `use_census` on a count that still holds.
+    /// Runs `use_counts` on the cached counts, after a recount if they have expired.
     fn with_counts<T>(&self, now: Time, use_counts: impl FnOnce(&LiveCounts) -> T) -> T {
         let mut counts = self.counts.borrow_mut();
         let counts = match counts.as_mut() {
@@ -269,7 +272,7 @@
         counts
     }
 
-    /// What a datagram shows of its sender, before it is taken.
+    /// Determines what a datagram shows about its sender. To be called before the datagram is applied.
     fn sender_status(&self, now: Time, address: SocketAddr, datagram: &Datagram) -> SenderStatus {
         let known = self.peers.get(&address);
         let known = known.and_then(|peer| peer.report.as_ref());
@@ -284,7 +287,7 @@
         let live_count = usize::try_from(datagram.hears).unwrap_or(usize::MAX);
         let is_unknown = known.is_none();
         let is_newcomer = is_unknown && live_count.saturating_mul(2) < self.count_live(now);
-        // Near ones hear each other all the same.
+        // Hosts of one data centre receive each other's datagrams in any case.
         let lacks_remote_hosts = is_unknown && !is_local && datagram.lacks_hosts;
         SenderStatus {
             has_joined: last.is_none_or(|at| now.since(at) > LIVENESS_TIMEOUT),
@@ -294,7 +297,7 @@
         }
     }
 
-    /// Whether this host knows few hosts of another data centre, or none of any.
+    /// Whether this host knows too few hosts of another data centre, or no other data centre at all.
     pub(crate) fn lacks_hosts(&self) -> bool {
         let others: Vec<&DataCentre> = self.remote_data_centres().collect();
         others.is_empty() || others.iter().any(|other| !self.knows_enough_in(other))
@@ -305,7 +308,7 @@
         reports.filter(move |report| report.is_live(now))
     }
 
-    /// The live hosts of a data centre.
+    /// The reports of the live hosts of a data centre.
     fn live_reports_in(
         &self,
         now: Time,
@@ -327,12 +330,12 @@
         known.count() == KNOWN_HOSTS_MIN
     }
 
-    /// For how long no host of another data centre was heard; none if none ever was.
+    /// Time since the last datagram of any other data centre; none before the first one.
     pub(crate) fn remote_silence(&self, now: Time) -> Option<Duration> {
         self.remote_silences(now).min()
     }
 
-    /// For how long the most silent of the other data centres was not heard; none if there is none.
+    /// Time since the last datagram of the longest silent other data centre; none if no other is known.
     pub(crate) fn longest_remote_silence(&self, now: Time) -> Option<Duration> {
         self.remote_silences(now).max()
     }
@@ -343,13 +346,13 @@
         remote.map(move |(_, report)| now.since(report.received_at))
     }
 
-    /// The live hosts of the own data centre.
+    /// The live hosts of this data centre.
     pub(crate) fn live_local(&self, now: Time) -> Vec<HostId> {
         let live = self.live_reports_in(now, &self.data_centre);
         live.map(|report| report.host.clone()).collect()
     }
 
-    /// The data centres of which a host was heard of late.
+    /// The data centres with a recent datagram.
     fn reporting_data_centres(&self, now: Time) -> impl Iterator<Item = &DataCentre> {
         let reports = self.data_centres.iter();
         let recent =
@@ -357,8 +360,8 @@
         recent.map(|(data_centre, _)| data_centre)
     }
 
-    /// Whether of all hosts `host`, this one, is the one to do something once that `what` names: the same data centre
-    /// of those heard of late, and the same host of it, for all who hear the same.
+    /// Whether this host, `host`, is the one of the fleet that performs `task`. All hosts that receive the
+    /// same datagrams choose the same data centre and the same host of it.
     pub(crate) fn is_chosen(&self, now: Time, host: &HostId, task: &str) -> bool {
         let data_centres = self.reporting_data_centres(now).map(DataCentre::as_str);
         let local = self.live_local(now);
@@ -367,8 +370,8 @@
             && rendezvous::is_first(host.as_str(), hosts, task)
     }
 
-    /// How many hosts come before `host`, this one, in doing what `what` names: of a small fleet all, else one of each data
-    /// centre.
+    /// Number of hosts that precede this one, `host`, in performing `task`. In a small fleet all hosts are
+    /// ranked, in a large one the data centres.
     pub(crate) fn rank(&self, now: Time, host: &HostId, task: &str) -> usize {
         if self.is_small_fleet(now) {
             let others = self.live_reports(now).map(|report| report.host.as_str());
@@ -378,12 +381,12 @@
         rendezvous::count_before(self.data_centre.as_str(), data_centres, task)
     }
 
-    /// Number of the live hosts of the own data centre.
+    /// Number of other live hosts of this data centre.
     pub(crate) fn count_local(&self, now: Time) -> usize {
         self.with_counts(now, |counts| counts.live_in(&self.data_centre))
     }
 
-    /// The hosts that have a configuration newer than `version`.
+    /// The live hosts with a configuration newer than `version`.
     pub fn holders(&self, now: Time, version: u64) -> Vec<Holder> {
         let timeout = self.reader_timeout(now);
         let distance = |report: &Report| match now.since(report.received_at) < timeout {
@@ -402,12 +405,13 @@
         newer.map(holder).collect()
     }
 
-    /// The hosts that know the upstreams as of a later position.
+    /// The live hosts that know the upstreams up to a later position than `position`.
     pub(crate) fn holders_of_upstreams(&self, now: Time, position: Position) -> Vec<Holder> {
         let newer = self
             .live_reports(now)
             .filter(|report| report.upstreams_position > position);
-        // Those that know most are few, and not to be asked by all.
+        // All get the same version: the few hosts with the latest position must not get the requests of all
+        // others.
         let holder = |report: &Report| Holder {
             address: report.peer_address,
             version: 0,
@@ -419,7 +423,7 @@
         newer.map(holder).collect()
     }
 
-    /// Whether a live host knows what a topic of the log tells.
+    /// Whether a live host knows the contents of a topic of the log.
     pub(crate) fn has_live_holder(&self, now: Time, topic: Topic) -> bool {
         self.with_counts(now, |counts| match topic {
             Topic::Operator => counts.newest_version > 0,
@@ -428,13 +432,13 @@
         })
     }
 
-    /// The newest version of the configuration that a live host has in force; 0 if none is heard.
+    /// The newest configuration that is active at a live host; 0 if there is none.
     pub(crate) fn newest_version(&self, now: Time) -> u64 {
         self.with_counts(now, |counts| counts.newest_version)
     }
 
-    /// Number of other hosts that are live and not stopping: of each data centre those heard of late, or
-    /// as many as the last one heard there knows.
+    /// Number of other hosts that are live and not stopping. For each data centre it is the larger of the
+    /// hosts with a recent datagram and the number in the last report on that data centre.
     pub fn count_live(&self, now: Time) -> usize {
         self.with_counts(now, |counts| {
             let fresh =
@@ -456,48 +460,48 @@
         })
     }
 
-    /// The most live hosts that this one counts, or another one tells that it hears.
+    /// The largest number of live hosts that this host counts or another one announces.
     pub(crate) fn live_max(&self, now: Time) -> u32 {
         let live = u32::try_from(self.count_live(now)).unwrap_or(u32::MAX);
         self.with_counts(now, |counts| counts.live_count_max)
             .max(live)
     }
 
-    /// Counts the live hosts; to be called in each round.
+    /// Records the current number of live hosts. To be called in each gossip round.
     pub(crate) fn update_size(&mut self, now: Time) {
         let live = self.count_live(now) + 1;
         self.size.record_own(now, live);
     }
 
-    /// The most hosts that this one has counted of late, itself included.
+    /// The most hosts that this host has counted recently, including itself.
     pub(crate) fn counted_max(&self, now: Time) -> usize {
         self.size.own_max(now)
     }
 
-    /// The hosts among which bounds of the fleet are divided: the most that are known to have been live of late, and at least
-    /// the seeds.
+    /// Number of hosts among which fleet-wide limits are divided: the most that were recently live, and at
+    /// least this host and the seeds.
     pub(crate) fn sharing_hosts(&self, now: Time) -> usize {
         let others = self.count_live(now).max(self.seeds.len());
         self.size.max(now).max(others + 1)
     }
 
-    /// Begins to fetch something from peers; false while that is under way.
+    /// Marks a transfer from peers as running; false if one of the same kind is running already.
     pub(crate) fn begin_fetch(&mut self, fetch: Fetch) -> bool {
         self.fetching.insert(fetch)
     }
 
-    /// Whether something is being fetched from peers.
+    /// Whether a transfer of this kind is running.
     pub(crate) fn is_fetching(&self, fetch: Fetch) -> bool {
         self.fetching.contains(&fetch)
     }
 
-    /// The fetch has ended.
+    /// Marks a transfer as ended.
     pub(crate) fn end_fetch(&mut self, fetch: Fetch) {
         self.fetching.remove(&fetch);
     }
 }
 
-/// A number that hosts mostly don't share.
+/// Sum of the parts of an address, which differs between most hosts.
 fn address_sum(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => ip.octets().iter().map(|octet| usize::from(*octet)).sum(),
--- a/src/gateway/peers/expiry.rs
+++ b/src/gateway/peers/expiry.rs
@@ -1,4 +1,4 @@
-//! For how long a host remembers others that it doesn't hear.
+//! Removal of hosts that no longer send datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,15 +7,19 @@
 use crate::clock::Time;
 use crate::id::DataCentre;
 
-/// An address that never answers is tried for this long, and again when it is learnt anew.
+/// Time after which an address that never answered, or a silent host, may be removed. An address that is
+/// announced again starts over.
 pub(super) const SILENT_HOST_TTL: Duration = Duration::from_secs(15);
-/// A host of another data centre is remembered for this long,
+/// Silence after which a host of another data centre is always removed. It is kept longer than local hosts
+/// so that both sides of a partition know whom to contact when it ends.
 const REMOTE_SILENT_TTL: Duration = Duration::from_secs(60);
-/// unless so many are known addresses. Where hosts are few, each is heard in turn and would else be a stranger each time.
+/// Hosts of another data centre that are kept, counting the silent ones after the others. The hosts of a data
+/// centre send in turn, so without this the hosts of a small one would be unknown again at each datagram.
 const REMOTE_HOSTS_KEPT_MAX: usize = 48;
 
 impl Peers {
-    /// Forgets hosts that are silent. Seeds are kept: one that was expired would be tried by every host in each round.
+    /// Removes silent hosts. Seeds that have ever sent a datagram are kept: every host would contact a removed
+    /// seed in each round.
     pub(super) fn remove_silent(&mut self, now: Time) {
         let unanswered = self.peers.iter().filter(|(_, peer)| peer.report.is_none());
         let unanswered = unanswered.filter(|(_, peer)| now.since(peer.added_at) >= SILENT_HOST_TTL);
@@ -28,7 +32,8 @@
         }
     }
 
-    /// The hosts of a data centre that are not remembered any more: beyond a number the most silent.
+    /// The hosts of a data centre to remove: those silent for too long, and the longest silent ones beyond the
+    /// number that is kept.
     fn expired_in(&self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         let addresses = self.by_data_centre.get(data_centre).into_iter().flatten();
         let (mut silent, recent): (Vec<_>, Vec<_>) = addresses
--- a/src/gateway/peers/fleetsize.rs
+++ b/src/gateway/peers/fleetsize.rs
@@ -1,17 +1,18 @@
-//! How many hosts share the bounds of a fleet.
+//! Estimates how many hosts share the limits of a fleet.
 //!
-//! Each host spends its part of such a bound without asking. Hosts that are gone have spent of it too, and those that
-//! stop or are beyond a cut still do, so the parts follow the most hosts counted of late and not the hosts heard now.
+//! Each host uses its share of a limit without coordination. Hosts that are gone have used theirs too, and
+//! hosts that are stopping or behind a network partition still do, so shares are computed from the largest
+//! recent count instead of the hosts that are live now.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// A host that was counted keeps its part for this time at least and for twice as long at most. Regions lose each other
-/// for minutes.
+/// A counted host keeps its share for at least this time and at most twice as long: partitions between
+/// regions last for minutes.
 const WINDOW: Duration = Duration::from_secs(10 * 60);
 
-/// The most hosts of late, by this host's own count and by what others tell.
+/// The largest recent number of hosts, by this host's own counts and by those that others announce.
 #[derive(Debug, Default)]
 pub(super) struct FleetSize {
     own: WindowedMax,
@@ -19,28 +20,29 @@
 }
 
 impl FleetSize {
-    /// This host counts so many hosts, itself included.
+    /// Records a count of this host, which includes itself.
     pub(super) fn record_own(&mut self, now: Time, hosts: usize) {
         self.own.record(now, hosts);
     }
 
-    /// Another host has counted so many.
+    /// Records a count that another host announced.
     pub(super) fn receive(&mut self, now: Time, hosts: usize) {
         self.received.record(now, hosts);
     }
 
-    /// What this host tells the others. What they told is left out, or it would be remembered for ever.
+    /// The maximum of this host's own counts, which it announces. Received counts are left out: hosts that
+    /// repeated them to each other would keep them for ever.
     pub(super) fn own_max(&self, now: Time) -> usize {
         self.own.get(now)
     }
 
-    /// The most that are known of.
+    /// The maximum of the own and the received counts.
     pub(super) fn max(&self, now: Time) -> usize {
         self.own.get(now).max(self.received.get(now))
     }
 }
 
-/// The largest of the values noted in the last one or two spans of [`REMEMBERED`].
+/// The maximum of the values recorded in the last one to two [`WINDOW`]s.
 #[derive(Debug, Default)]
 struct WindowedMax {
     window_start: Time,
--- a/src/gateway/peers/livecounts.rs
+++ b/src/gateway/peers/livecounts.rs
@@ -1,8 +1,8 @@
-//! How many hosts are live, counted anew only now and then.
+//! Cached counts of the live hosts.
 //!
-//! Each datagram, round and request asks for these figures. A walk over all hosts for each would cost a host hosts times
-//! datagrams; so hosts are counted at intervals that grow with their number, and in between those that come or stop are
-//! added and taken off.
+//! Each datagram, round and request needs these counts. If each of them iterated over all hosts, the cost would
+//! grow with hosts times datagrams. Therefore all hosts are counted at an interval that grows with their number,
+//! and in between the counts are adjusted for hosts that join or stop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use crate::gateway::position::Position;
 use crate::id::DataCentre;
 
-/// Between two counts, for each host that was counted: silence is noticed so much later, 0.1 s of a thousand hosts.
+/// Time between two full counts for each counted host. Silence is noticed later by the whole interval: 0.1 s
+/// for 1,000 hosts.
 const RECOUNT_INTERVAL_PER_HOST: Duration = Duration::from_micros(100);
 
-/// One count.
+/// The counts and maxima over all live hosts.
 #[derive(Debug, Clone)]
 pub(super) struct LiveCounts {
     counted_at: Time,
-    /// Live hosts of each data centre that were heard.
+    /// Number of live hosts with a report, by data centre.
     live: BTreeMap<DataCentre, usize>,
-    /// The newest configuration that any of them has in force.
+    /// The newest configuration that is active at any of them.
     pub(super) newest_version: u64,
-    /// The most others that any of them hears.
+    /// The largest number of live hosts that any of them announces.
     pub(super) live_count_max: u32,
     /// Whether any of them knows the upstreams.
     pub(super) knows_upstreams: bool,
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Whether the count still holds.
+    /// Whether the counts are recent enough to use.
     pub(super) fn is_valid(&self, now: Time) -> bool {
         let hosts: usize = self.live.values().sum();
         let interval = RECOUNT_INTERVAL_PER_HOST * u32::try_from(hosts).unwrap_or(u32::MAX);
         now >= self.counted_at && now.since(self.counted_at) < interval
     }
 
-    /// Takes what a host knows.
+    /// Adds the versions and the count of a host to the maxima.
     pub(super) fn merge(&mut self, report: &Report) {
         self.newest_version = self.newest_version.max(report.config_version);
         self.live_count_max = self.live_count_max.max(report.live_count);
--- a/src/gateway/peers/partners.rs
+++ b/src/gateway/peers/partners.rs
@@ -1,4 +1,4 @@
-//! Whom a host tells what it knows, and of whom it tells.
+//! Chooses the hosts that datagrams go to and the addresses that they announce.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,39 +9,41 @@
 use crate::clock::Time;
 use crate::id::DataCentre;
 
-/// Addresses of other hosts that a datagram carries.
+/// Addresses of other hosts in a datagram.
 const ANNOUNCED_HOSTS: usize = 4;
-/// The same of the answer to a host that has just started: most of a data centre at once.
+/// Maximum addresses in the answer to a host that has just started: most of a data centre at once.
 const BOOTSTRAP_HOSTS_MAX: usize = 64;
-/// Hosts of each other data centre that a stranger is introduced to.
+/// Hosts of each other data centre that an unknown host is introduced to.
 const INTRODUCED_HOSTS: usize = 4;
-/// Hosts of each other data centre that a host of a large fleet tells in one of its rounds. All hosts of
-/// a data centre do, so that each host hears about as many of it: no word within [`LIVE_FOR`], two
-/// rounds and more, is one case in a thousand where as many hosts tell as listen.
+/// Hosts of each other data centre that a host of a large fleet sends to in a round. All hosts of a data
+/// centre do so, so that each host receives about as many datagrams of it. Between data centres of equal
+/// size, no datagram arrives within [`LIVENESS_TIMEOUT`](super::LIVENESS_TIMEOUT), two rounds and more, in
+/// one case of a thousand.
 pub(crate) const REMOTE_PARTNERS: usize = 3;
 
-/// Hosts of a data centre that one which runs work there tells of it, at most.
+/// Maximum hosts of another data centre to which a host sends the loads that it runs there.
 const LOAD_RECIPIENTS_MAX: usize = 24;
-/// Hosts of a data centre that are asked at once: one may be gone, or have no processor time for a tenth of a second.
+/// Hosts of a data centre that are queried for loads together: one may be gone, or get no processor time for
+/// a tenth of a second.
 const QUERY_TARGETS: usize = 2;
 
-/// Hosts of another data centre from which changes go over it: one may be gone.
+/// Hosts of another data centre that relay changes within it: one may be gone.
 const RELAY_ROOTS: usize = 2;
-/// Hosts to which each host of a data centre passes changes on.
+/// Hosts to which each host of the relay tree forwards changes.
 const RELAY_CHILDREN: usize = 4;
 
-/// Which hosts a round is for.
+/// The hosts that a gossip round is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recipients {
-    /// All.
+    /// All hosts.
     All,
-    /// Those of the own data centre.
+    /// The hosts of this data centre.
     Local,
 }
 
 impl Peers {
-    /// Whom to send to in this round, beside hosts that are known by their address alone. Forgets hosts
-    /// that are silent; seeds are always tried.
+    /// The hosts to send to in this round, including those known by their address alone. Removes silent
+    /// hosts first; unknown seeds are always among the targets.
     pub fn targets(&mut self, now: Time, recipients: Recipients) -> Vec<SocketAddr> {
         self.remove_silent(now);
         let is_recipient = |peer: &Peer| match (recipients, &peer.report) {
@@ -58,12 +60,12 @@
         targets
     }
 
-    /// Whether a host is known by its address alone.
+    /// Whether no datagram of a host has arrived, so that only its address is known.
     pub(crate) fn is_unconfirmed(&self, address: &SocketAddr) -> bool {
         self.report_of(address).is_none()
     }
 
-    /// The hosts of a data centre that are known and not stopping.
+    /// The known hosts of a data centre that aren't stopping.
     pub(super) fn known_in(&self, data_centre: &DataCentre) -> impl Iterator<Item = SocketAddr> {
         let addresses = self.by_data_centre.get(data_centre).into_iter().flatten();
         let is_stopping =
@@ -78,14 +80,15 @@
         all.filter(|other| **other != self.data_centre)
     }
 
-    /// Hosts of another data centre that are told what is run there: all that are known, up to a bound.
+    /// The hosts of another data centre to which this host sends the loads that it runs there: all known
+    /// ones, up to [`LOAD_RECIPIENTS_MAX`].
     pub(crate) fn load_recipients(&mut self, data_centre: &DataCentre) -> Vec<SocketAddr> {
         self.remote_rotation = self.remote_rotation.wrapping_add(1);
         let known: Vec<SocketAddr> = self.known_in(data_centre).collect();
         take_rotated(&known, self.remote_rotation, LOAD_RECIPIENTS_MAX)
     }
 
-    /// A few live hosts of another data centre that are asked what runs there.
+    /// A few live hosts of another data centre to query for its loads.
     pub(crate) fn query_targets(&mut self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         self.remote_rotation = self.remote_rotation.wrapping_add(QUERY_TARGETS);
         take_rotated(
@@ -95,7 +98,7 @@
         )
     }
 
-    /// The other data centres of which a host was heard of late.
+    /// The other data centres with a recent datagram.
     pub(crate) fn live_data_centres(&self, now: Time) -> Vec<DataCentre> {
         let reporting = self.reporting_data_centres(now);
         let others = reporting.filter(|other| **other != self.data_centre);
@@ -109,8 +112,9 @@
             .collect()
     }
 
-    /// Whom a host of a large fleet tells of its data centre in this round: some hosts of each other one
-    /// in turn, and those that read the upstreams for all, who must know whom to tell.
+    /// The hosts to which a host of a large fleet reports on its data centre in this round: some hosts of
+    /// each other data centre in turn, and always the readers of the upstreams, which must know all hosts
+    /// that they announce changes to.
     pub(crate) fn remote_partners(&mut self, now: Time) -> BTreeMap<DataCentre, Vec<SocketAddr>> {
         let readers = self.upstreams_readers(now);
         let choose_partners = |data_centre: &DataCentre| {
@@ -127,7 +131,8 @@
         partners
     }
 
-    /// The hosts of a data centre of which one may be told: those heard of late, or all that are known if those are few.
+    /// The hosts of a data centre from which partners are chosen: those with a recent datagram, or all known
+    /// ones if there are few of these.
     fn partner_candidates(&self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         let known: Vec<SocketAddr> = self.known_in(data_centre).collect();
         let received_at =
@@ -142,7 +147,7 @@
         }
     }
 
-    /// Those of each other data centre from which changes go over it, in turn.
+    /// The hosts of each other data centre from which changes are relayed within it, in turn.
     pub(crate) fn relay_roots(&mut self, now: Time) -> Vec<SocketAddr> {
         self.relay_rotation = self.relay_rotation.wrapping_add(1);
         let roots_in = |data_centre: &DataCentre| {
@@ -155,8 +160,8 @@
         self.remote_data_centres().flat_map(roots_in).collect()
     }
 
-    /// To whom this host passes on what comes over its data centre from `root`: its children in a tree over the live hosts
-    /// there in the order of their addresses, beginning with `root`.
+    /// The hosts to which this host forwards the changes that `root` relays within the data centre. They are
+    /// its children in a tree over the live hosts of the data centre, ordered by address from `root` on.
     pub(crate) fn relay_children(&self, now: Time, root: SocketAddr) -> Vec<SocketAddr> {
         let mut hosts = self.live_addresses_in(now, &self.data_centre);
         hosts.extend([self.own_address, root]);
@@ -172,7 +177,7 @@
             .collect()
     }
 
-    /// The live hosts that read the upstreams for all.
+    /// The live hosts that read the upstreams for the whole fleet.
     fn upstreams_readers(&self, now: Time) -> Vec<SocketAddr> {
         let reads = |address: &SocketAddr| {
             let peer = self.peers.get(address).filter(|peer| peer.is_live(now));
@@ -183,8 +188,9 @@
         readers.copied().collect()
     }
 
-    /// A few live hosts to tell of, in turn; in a large fleet those of the own data centre, and who reads
-    /// the upstreams for all: of two that read, the second must hear the first to leave it to that one.
+    /// A few live hosts to announce, in turn. In a large fleet they are hosts of this data centre and the
+    /// readers of the upstreams: of two readers, the second stops only once it receives datagrams of the
+    /// first.
     pub(crate) fn announced_hosts(&mut self, now: Time) -> Vec<SocketAddr> {
         self.rotation = self.rotation.wrapping_add(ANNOUNCED_HOSTS);
         if self.is_small_fleet(now) {
@@ -199,7 +205,7 @@
         hosts
     }
 
-    /// Some hosts of each data centre but `own`, for a host there.
+    /// Some hosts of each data centre except `own`, to announce to a host of `own`.
     pub(crate) fn introductions(
         &mut self,
         now: Time,
@@ -214,7 +220,7 @@
         introduced.collect()
     }
 
-    /// The hosts of a data centre, for one of them that has just started.
+    /// The hosts of a data centre to announce to one of its hosts that has just started.
     pub(crate) fn bootstrap_hosts(&self, now: Time, data_centre: &DataCentre) -> Vec<SocketAddr> {
         take_rotated(
             &self.live_addresses_in(now, data_centre),
@@ -234,7 +240,7 @@
         live.copied().collect()
     }
 
-    /// The first `count` live hosts of a data centre from where it is their turn, without a look at the others.
+    /// The next `count` live hosts of a data centre in rotation. The remaining hosts aren't looked up.
     fn some_live_in(&self, now: Time, data_centre: &DataCentre, count: usize) -> Vec<SocketAddr> {
         let Some(addresses) = self.by_data_centre.get(data_centre) else {
             return Vec::new();
@@ -254,7 +260,7 @@
     }
 }
 
-/// `count` of `addresses`, from `turn` on and round.
+/// Up to `count` of `addresses`, from `offset` on and wrapping around.
 fn take_rotated(addresses: &[SocketAddr], offset: usize, count: usize) -> Vec<SocketAddr> {
     let from = offset.checked_rem(addresses.len()).unwrap_or(0);
     let rotated = addresses.iter().cycle().skip(from);
--- a/src/gateway/peers/readers.rs
+++ b/src/gateway/peers/readers.rs
@@ -1,4 +1,5 @@
-//! Who reads the platform's log, as each host decides for itself from whom it hears.
+//! Decides which hosts read the platform's log. Each host decides for itself, by the datagrams that it
+//! receives.
 
 use std::time::Duration;
 
@@ -9,35 +10,35 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// Hosts that read the log for others send to them at least this often.
+/// Shortest interval between the datagrams of a host that reads the log for others.
 const READER_INTERVAL_MIN: Duration = Duration::from_millis(300);
-/// and wait so much longer for each host, so that they send 500 datagrams a second at most. With rounds of
-/// 4 ms a host, 1.18 s at 295 hosts, all took the readers for silent in each round and read the log
-/// themselves: 29,385 calls in a play of 61 s, 10,152 with rounds of their own.
+/// Interval of a reader per receiving host, which bounds what it sends to 500 datagrams a second. At 4 ms a
+/// host, the interval of ordinary rounds, 295 hosts got one every 1.18 s, took the readers for silent in each
+/// round and read the log themselves: 29,385 calls in 61 s, against 10,152 with this interval.
 const READER_INTERVAL_PER_HOST: Duration = Duration::from_millis(2);
-/// A reader that was silent for so long is replaced: three of its rounds.
+/// Shortest silence after which a reader is replaced: three of its shortest rounds.
 const READER_TIMEOUT_MIN: Duration = Duration::from_millis(1_000);
-/// and for so many of its rounds where they are longer.
+/// Rounds of silence after which a reader is replaced, where they take longer than [`READER_TIMEOUT_MIN`].
 const READER_TIMEOUT_ROUNDS: f64 = 2.5;
-/// Hosts that are no candidates leave it to those for so many times as long, before they read for
-/// themselves.
+/// Multiple of the reader timeout for which hosts that aren't candidates leave reading to the candidates.
 const NON_CANDIDATE_WAIT_FACTOR: u32 = 2;
-/// With fewer other hosts each reads the log for itself: their calls cost less than half a percent
-/// of what is served, and need no one else.
+/// Other hosts from which on only readers read the log. With fewer, each host reads it without depending on
+/// others, and these calls cost less than 0.5% of what is served.
 pub(crate) const READERS_HOSTS_MIN: usize = 12;
-/// Hosts of a data centre that look for a log that is away: one, and another if it is turned away.
+/// Hosts of a data centre that probe an unreachable log: one, and another in case the log refuses the first.
 const LOG_PROBERS: usize = 2;
-/// Hosts of a data centre that try to read the log at once where nobody is answered. With a third of
-/// the hosts turned away all of three are in 4 cases of 100, and one try takes 0.4 s or more.
+/// Hosts of a data centre that try to read the log at the same time while none is answered. If the log
+/// refuses a third of the hosts, it refuses all three in 4 cases of 100; one attempt takes 0.4 s or more.
 const READER_CANDIDATES: usize = 3;
 
 impl Peers {
-    /// Whether this host shall read a topic of the log. While hosts are few, each reads for itself.
+    /// Whether this host should read a topic of the log. In a small fleet each host reads for itself.
     ///
-    /// Else what operators publish is read by one host of each data centre, from which the others
-    /// fetch it, and the upstreams, whose changes are many and small, by one host for all. The reader
-    /// is the first by name of the hosts that are heard and are answered by the log. Where none is
-    /// answered, the first few of a data centre that don't know better try at once.
+    /// In a large one, the operators' topic is read by one host of each data centre, from which the others
+    /// fetch it. The upstreams, whose changes are many and small, are read by one host for all data centres.
+    /// The reader is the first by name of the hosts that send datagrams and are answered by the log. If none
+    /// is answered, the first few hosts of a data centre that haven't reported the topic as unreadable try at
+    /// the same time.
     pub fn is_reader(
         &self,
         now: Time,
@@ -67,18 +68,19 @@
         candidates.take(READER_CANDIDATES).count() < READER_CANDIDATES
     }
 
-    /// Whether a host that reads a topic of the log was heard a moment ago.
+    /// Whether a datagram of a reader of the topic has arrived within the reader timeout.
     pub fn has_live_reader(&self, now: Time, topic: Topic) -> bool {
         self.has_reader_within(now, topic, self.reader_timeout(now))
     }
 
-    /// Whether such a host was heard lately enough that a host which is no candidate waits for its word.
+    /// Whether a datagram of a reader of the topic has arrived recently enough that a host which isn't a
+    /// candidate waits for the next one.
     pub(crate) fn awaits_reader(&self, now: Time, topic: Topic) -> bool {
         let timeout = self.reader_timeout(now) * NON_CANDIDATE_WAIT_FACTOR;
         self.has_reader_within(now, topic, timeout)
     }
 
-    /// Whether such a host was heard within this time.
+    /// Whether a datagram of a reader of the topic has arrived within this time.
     pub(crate) fn has_reader_within(&self, now: Time, topic: Topic, within: Duration) -> bool {
         self.live_readers(now)
             .any(|report| report.reading.contains(topic) && now.since(report.received_at) < within)
@@ -90,7 +92,7 @@
         reports.filter(move |report| report.is_live(now))
     }
 
-    /// How often a host that reads the log for others sends to them.
+    /// Interval between the datagrams of a host that reads the log for others.
     pub(crate) fn reader_interval(&self, now: Time) -> Duration {
         let hosts = u32::try_from(self.count_live(now)).unwrap_or(u32::MAX);
         READER_INTERVAL_MIN.max(READER_INTERVAL_PER_HOST.saturating_mul(hosts))
@@ -101,9 +103,9 @@
         READER_TIMEOUT_MIN.max(rounds)
     }
 
-    /// Whether this host is among the first by name of the live hosts of its data centre: those look
-    /// for a log that is away more often than the others, who hear of its return from them. While hosts
-    /// are few, each looks for itself.
+    /// Whether this host is among the first by name of the live hosts of its data centre. These probe an
+    /// unreachable log more often than the others, which learn of its return from them. In a small fleet
+    /// each host probes for itself.
     pub fn is_log_prober(&self, now: Time, host: &HostId, data_centre: &DataCentre) -> bool {
         if self.is_small_fleet(now) {
             return true;
@@ -113,9 +115,10 @@
         before.take(LOG_PROBERS).count() < LOG_PROBERS
     }
 
-    /// Whether hosts are so few that each reads the log for itself. A host that has just started hears
-    /// few others at first, so what these hear counts too: hundreds that start together would each follow
-    /// the whole log for seconds (7,492 calls of 295 hosts by second 6 of one play, of 10,152 in all).
+    /// Whether the fleet is so small that each host reads the log for itself. A host that has just started
+    /// receives datagrams of few others, so the counts that these announce are used too. Otherwise hundreds
+    /// of hosts that start together would each follow the whole log for seconds: 295 hosts made 7,492 of
+    /// 10,152 calls in the first 6 s.
     pub(crate) fn is_small_fleet(&self, now: Time) -> bool {
         let announced = self.with_counts(now, |counts| counts.live_count_max);
         let announced = usize::try_from(announced).unwrap_or(usize::MAX);
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Twenty hosts, even ones in the north, as host 20 hears them.
+/// The peers of host 20: twenty hosts, of which the even ones are in the north.
 fn peers() -> Peers {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
     for index in 0..20 {
@@ -141,7 +141,7 @@
     assert_eq!(silence, Some(Duration::from_millis(400)));
 }
 
-/// The holders that are asked before all others.
+/// The holders at the smallest distance, which are asked first.
 fn nearest(holders: &[Holder]) -> Vec<std::net::SocketAddr> {
     let first = holders.iter().map(|holder| holder.distance).min();
     let nearest = holders
@@ -163,8 +163,8 @@
     assert_eq!(only_older.len(), 20);
 }
 
-// At 295 hosts each told all of other data centres what it ran, 131 datagrams a second, and each had to
-// hear all to count them.
+// When hosts counted only the senders of datagrams, each had to receive those of the whole fleet: 131 a second
+// at 295 hosts.
 #[test]
 fn the_report_of_one_host_counts_for_its_data_centre() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
@@ -272,7 +272,7 @@
     assert_eq!(holders, ["10.0.0.0:8000".parse().unwrap()]);
 }
 
-// Of 22 upstreams that left in one moment a datagram told the last 12; all hosts then fetched the list.
+// When one datagram carried only the last 12 of 22 simultaneous changes, all hosts fetched the whole list.
 #[test]
 fn many_changes_are_split_over_several_datagrams() {
     let mut many = datagram(1, "north");
@@ -336,7 +336,8 @@
     assert!(each.iter().any(|chosen| *chosen != each[0]));
 }
 
-// Hosts of other data centres took what was told of loads for news of the log without the news, and fetched that.
+// If load datagrams carried a position of the log without the changes up to it, hosts of other data centres
+// would fetch those.
 #[test]
 fn load_datagrams_announce_no_log_position() {
     let announced = datagram(1, "north");
--- a/src/gateway/peers/tests/expiry.rs
+++ b/src/gateway/peers/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! For how long hosts of other data centres are known that are not heard.
+//! Tests of how long silent hosts of other data centres are kept.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     SocketAddr::from(([10, 1, 0, index as u8], 7_200))
 }
 
-/// A host of the north that heard one of so many of the south each 10 ms.
+/// A host of the north that received a datagram of one host of the south every 10 ms.
 fn host_with_remote_peers(remote: usize) -> Peers {
     let own = SocketAddr::from(([10, 0, 0, 1], 7_200));
     let mut peers = Peers::new(own, DataCentre::new("north"), &[]);
@@ -30,7 +30,7 @@
     peers.remote_hosts()
 }
 
-// After a cut of 16 s neither side knew whom to tell that it was over.
+// When silent hosts were removed after 15 s, neither side of a 16 s partition had a host left to contact.
 #[test]
 fn a_few_silent_remote_hosts_are_kept_for_a_minute() {
     let mut peers = host_with_remote_peers(10);
--- a/src/gateway/peers/tests/fleet.rs
+++ b/src/gateway/peers/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: what a host sends and how well it counts, whatever the size of the fleet.
+//! Simulates a fleet in virtual time to check how much each host sends and how well it counts the others.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,7 +18,7 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// One datagram in ten is lost.
+/// Share of the datagrams that are lost.
 const LOSS: f64 = 0.1;
 const SEEDS: usize = 4;
 
@@ -30,12 +30,12 @@
     sent: usize,
 }
 
-/// Hosts that start within half a second, all with the same seeds.
+/// Hosts that start within 0.5 s of each other, all with the same seeds.
 struct Fleet {
     hosts: Vec<Host>,
     due: BinaryHeap<Reverse<(Time, usize)>>,
     random: ChaCha8Rng,
-    /// Datagrams that were answered.
+    /// Number of datagrams that were answered.
     answered: usize,
 }
 
@@ -143,13 +143,13 @@
         self.send(now, to, &[sender], &answer);
     }
 
-    /// The least and the most hosts that any host counts, itself among them.
+    /// The smallest and the largest number of live hosts that a host counts, including itself.
     fn counts(&self, now: Time) -> (usize, usize) {
         let counts = self.hosts.iter().map(|host| host.peers.count_live(now) + 1);
         (counts.clone().min().unwrap(), counts.max().unwrap())
     }
 
-    /// Datagrams that a host sends in a second of the time from `begins` to `ends`, on average.
+    /// Mean number of datagrams that a host sends per second between `begins` and `ends`.
     fn sent_per_s(&mut self, begins: Time, ends: Time) -> f64 {
         self.run_until(begins);
         self.hosts.iter_mut().for_each(|host| host.sent = 0);
@@ -171,8 +171,8 @@
     }
 }
 
-// What a host sent grew with the fleet: 181 datagrams a second at 295 hosts, and rounds came more seldom
-// than a host counts as live at 1,000.
+// When each host sent to the whole fleet, it sent 181 datagrams a second at 295 hosts, and at 1,000 hosts
+// the interval between rounds was longer than the liveness timeout.
 #[test]
 fn send_rate_and_counting_hold_in_a_larger_fleet() {
     let mut sent = Vec::new();
@@ -195,8 +195,8 @@
     println!("datagrams a second and host: {sent:.1?}");
 }
 
-// Hosts of other data centres are heard seldom in a large fleet, so each was a stranger whenever it was heard, was
-// answered, and answered in turn: three datagrams between data centres for each that told something.
+// In a large fleet a given remote host sends rarely. If its sender is unknown again each time, a datagram is
+// answered and the answer answered too: three datagrams between data centres instead of one.
 #[test]
 fn remote_datagrams_are_not_answered_once_hosts_are_known() {
     let mut fleet = Fleet::start(160, 2);
--- a/src/gateway/peers/tests/livecounts.rs
+++ b/src/gateway/peers/tests/livecounts.rs
@@ -1,4 +1,4 @@
-//! Counts that are kept as hosts come and go.
+//! Tests of the cached counts while hosts join, stop and fall silent.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::gateway::peers::Peers;
 use crate::id::DataCentre;
 
-// Each datagram walked all hosts, so a host paid hosts times datagrams.
+// Counts are cached because a full count for each datagram costs hosts times datagrams.
 #[test]
 fn incremental_counts_match_a_full_count() {
     let mut random = ChaCha8Rng::seed_from_u64(11);
--- a/src/gateway/peers/tests/lookups.rs
+++ b/src/gateway/peers/tests/lookups.rs
@@ -1,4 +1,4 @@
-//! What a host looks at for one datagram doesn't grow with the fleet.
+//! Tests that the lookups for one datagram don't grow with the fleet.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The first host of a fleet of so many, which has heard all the others.
+/// The peers of the first host of a fleet, which has received a datagram of each other host.
 fn host_in_fleet_of(fleet: usize) -> Peers {
     let mut peers = Peers::new(address(0), DataCentre::new(DATA_CENTRES[0]), &[]);
     for index in 1..fleet {
@@ -31,15 +31,15 @@
     peers
 }
 
-/// How many hosts `act` looks up.
+/// Number of hosts that `act` looks up.
 fn lookups(peers: &mut Peers, act: impl FnOnce(&mut Peers)) -> usize {
     let before = peers.lookups.get();
     act(peers);
     peers.lookups.get() - before
 }
 
-// Each of a thousand hosts that start together introduces itself to hundreds, and each looked at all hosts for each
-// data centre that it was told of.
+// Each of 1,000 hosts that start together sends to hundreds as an unknown host, and each receiver looked up all
+// hosts for each data centre in the introductions.
 #[test]
 fn lookups_for_an_unknown_host_do_not_grow_with_the_fleet() {
     let lookups_in = |fleet: usize| {
--- a/src/gateway/peers/tests/readers.rs
+++ b/src/gateway/peers/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the log, and who leaves it to others.
+//! Tests of which hosts read the log and which leave it to others.
 
 use super::address;
 use super::data_centre_of;
@@ -47,7 +47,7 @@
         );
     }
 
-    // Of the north, host 0 is silent and host 2 would be next.
+    // In the north, host 0 is silent and host 2 would be next.
     assert!(!is_reader(&peers, later, 20));
     assert!(is_reader_in(&peers, later, 1, "north"));
 }
@@ -76,7 +76,7 @@
     assert!(!reads(&peers, Time::from_ms(999)));
     assert!(peers.has_live_reader(Time::from_ms(999), Topic::Upstreams));
     assert!(is_reader_in(&peers, Time::from_ms(999), 1, "south"));
-    // Behind a cut it isn't heard any more.
+    // After the reader timeout, as in a partition, the next host reads.
     assert!(reads(&peers, Time::from_ms(1_000)));
 }
 
@@ -119,8 +119,8 @@
     peers
 }
 
-// At 295 hosts rounds came 1.18 s apart, and each host took the reader for silent after 1 s: 29,385 calls
-// to the log in a minute, nearly all of hosts that were no readers.
+// At 295 hosts the interval of 1.18 s between rounds exceeded a fixed reader timeout of 1 s, so hosts that
+// weren't readers made nearly all of 29,385 calls to the log in a minute.
 #[test]
 fn a_reader_survives_one_lost_datagram_at_any_fleet_size() {
     let north = DataCentre::new("north");
@@ -147,8 +147,8 @@
     assert!(!peers.awaits_reader(Time::from_ms(2_000), Topic::Operator));
 }
 
-// 295 hosts that started together made 7,492 calls to the log in 20 s: each followed it until it had heard
-// twelve others by itself.
+// When a host read the log until it had received datagrams of twelve others itself, 295 hosts that started
+// together made 7,492 calls in 20 s.
 #[test]
 fn a_newcomer_does_not_read_if_a_peer_announces_a_large_fleet() {
     let mut peers = Peers::new(address(20), DataCentre::new("north"), &[]);
@@ -160,13 +160,13 @@
     later.hears = 3;
 
     assert!(!is_reader_in(&peers, Time::ZERO, 20, "north"));
-    // After a cut those that are left count for themselves.
+    // After a partition the remaining hosts use their own counts.
     peers.receive(Time::ZERO, address(1), &later);
     assert!(is_reader_in(&peers, Time::ZERO, 20, "north"));
 }
 
-// A reader that not all have heard goes on reading beside the one before it by name, and neither hears
-// of the other: hosts of a large fleet know a part of the other data centres only.
+// Hosts of a large fleet know only some hosts of other data centres. If their neighbours didn't announce the
+// readers to them, two readers could go on beside each other without either receiving the other's datagrams.
 #[test]
 fn in_a_large_fleet_local_hosts_announce_the_upstreams_reader() {
     let mut peers = peers();
--- a/src/gateway/peers/tests/relays.rs
+++ b/src/gateway/peers/tests/relays.rs
@@ -1,4 +1,4 @@
-//! How changes go over a data centre along a tree.
+//! Tests of the tree along which changes are relayed within a data centre.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
     SocketAddr::from(([10, 2, (index >> 8) as u8, index as u8], 7_200))
 }
 
-/// Hosts of one data centre that all hear each other.
+/// Hosts of one data centre, each with a datagram of every other one.
 fn hosts(count: usize) -> Vec<Peers> {
     let north = DataCentre::new("north");
     let datagrams: Vec<_> = (0..count)
@@ -34,7 +34,7 @@
     (0..count).map(receive_all).collect()
 }
 
-/// After how many hops each host has what `root` passes on, and the most that one host sends.
+/// The hops after which each host has the changes of `root`, and the most datagrams that one host sends.
 fn relay_from(hosts: &[Peers], root: usize) -> (BTreeMap<SocketAddr, usize>, usize) {
     let mut hops = BTreeMap::from([(address(root), 0)]);
     let mut waiting = VecDeque::from([root]);
@@ -53,7 +53,7 @@
     (hops, max_sends)
 }
 
-// One host told a thousand others of each of hundreds of changes a second.
+// Without the tree, one host sent each of hundreds of changes a second to a thousand others.
 #[test]
 fn relayed_changes_reach_all_hosts_in_few_hops_with_few_sends_each() {
     for count in [1, 2, 30, 80, 250] {
--- a/src/gateway/relayedchanges.rs
+++ b/src/gateway/relayedchanges.rs
@@ -1,7 +1,7 @@
-//! Changes of upstreams that a host heard of from another host, gathered for one line of its log.
+//! Summarises changes of upstreams that other hosts relayed, for one log entry.
 //!
-//! A host that reads the log writes a line for each change. Would all hosts of a large fleet, most of their lines were
-//! the same few changes.
+//! A host that reads the platform's log writes an entry for each change. If every host of a large fleet did so,
+//! most of their entries would repeat the same few changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 use crate::gateway::directory::DirectoryChange;
 use crate::gateway::instance::InstanceId;
 
-/// Between two lines. What the host knew at a moment is told by those of the hosts that read the log.
+/// Time over which changes are gathered into one entry. The exact time of a change is in the log of the hosts
+/// that read it.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(3);
-/// Upstreams that a line names.
+/// Upstreams that an entry names.
 const NAMED_UPSTREAMS_MAX: usize = 3;
 
-/// What was heard since the last line.
+/// The changes received since the last entry.
 #[derive(Debug, Default)]
 pub struct RelayedChanges {
     since: Option<Time>,
@@ -24,19 +25,19 @@
     host: String,
 }
 
-/// What one line tells.
+/// The contents of one log entry.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ChangeSummary {
-    /// Changes by their names.
+    /// Number of changes by their kind.
     pub counts: BTreeMap<&'static str, usize>,
     /// The first upstreams that changed.
     pub first: Vec<InstanceId>,
-    /// The last host that told of any.
+    /// The last host that relayed a change.
     pub host: String,
 }
 
 impl RelayedChanges {
-    /// Another host told of a change.
+    /// Records a change that another host relayed.
     pub fn record(
         &mut self,
         now: Time,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// What is to be written now, if anything is.
+    /// Takes the summary to write, if there are changes and the interval has passed.
     pub fn take_due(&mut self, now: Time) -> Option<ChangeSummary> {
         let since = self.since?;
         if now.since(since) < SUMMARY_INTERVAL {
