--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -34,13 +34,13 @@
 mod telling;
 mod upstream;
 
-pub use self::upstream::Applied;
+pub use self::upstream::AppliedChange;
 pub use self::upstream::Change;
+pub use self::upstream::ChangeKind;
 pub use self::upstream::DirectoryChange;
-pub use self::upstream::News;
 pub use self::upstream::Upstream;
 pub use self::upstream::UpstreamState;
-pub(crate) use self::upstream::share_names;
+pub(crate) use self::upstream::intern_names;
 
 /// After the log's return, living upstreams list themselves again within this time (the platform
 /// says about two seconds).
@@ -65,7 +65,7 @@
     entries: Listing,
     removed: BTreeMap<UpstreamId, Removal>,
     /// Instances that answered at their address with another id, or refused as leaving.
-    witnessed: BTreeMap<InstanceId, Time>,
+    observed_leaving: BTreeMap<InstanceId, Time>,
     /// Keys whose newest record names no upstream, with the record's position.
     foreign: BTreeMap<UpstreamId, Position>,
     evacuations: Evacuations,
@@ -74,7 +74,7 @@
     cold_until: BTreeMap<InstanceId, Time>,
     away: bool,
     returned_at: Option<Time>,
-    recent: VecDeque<(Time, Change)>,
+    recent_changes: VecDeque<(Time, Change)>,
 }
 
 impl Directory {
@@ -84,7 +84,7 @@
     }
 
     /// Whether any record at `position` or after it is known.
-    pub fn knows_from(&self, position: Position) -> bool {
+    pub fn has_record_from(&self, position: Position) -> bool {
         self.newest_record >= position
     }
 
@@ -94,17 +94,17 @@
     }
 
     /// The log returned from an older copy: entries written since are gone until they are written again.
-    pub fn log_returned(&mut self, now: Time) {
+    pub fn mark_log_returned(&mut self, now: Time) {
         self.returned_at = Some(now);
     }
 
     /// The log cannot be read.
-    pub fn log_lost(&mut self) {
+    pub fn mark_log_unreachable(&mut self) {
         self.away = true;
     }
 
     /// The log can be read again.
-    pub fn log_back(&mut self, now: Time) {
+    pub fn mark_log_reachable(&mut self, now: Time) {
         if std::mem::take(&mut self.away) {
             self.returned_at = Some(now);
         }
@@ -117,7 +117,7 @@
         id: &UpstreamId,
         upstream: Option<Upstream>,
         position: impl Into<Position>,
-    ) -> Option<Applied> {
+    ) -> Option<AppliedChange> {
         let position = position.into();
         let known = self.entries.get(id).map(Entry::known_to);
         let removed = self.removed.get(id).map(|removal| removal.position);
@@ -155,7 +155,12 @@
         listed.or(removed).and_then(InstanceId::born_ms)
     }
 
-    fn list(&mut self, now: Time, mut upstream: Upstream, position: Position) -> Option<Applied> {
+    fn list(
+        &mut self,
+        now: Time,
+        mut upstream: Upstream,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let name = upstream.id.upstream().clone();
         let latest = self.latest_born_ms(&name);
         let born_ms = upstream.id.born_ms().or(latest);
@@ -164,7 +169,7 @@
         }
         upstream.id = InstanceId::new(name.clone(), born_ms);
         if self.is_shown_again(now, &upstream, position) {
-            self.witness(now, &upstream.id);
+            self.observe_leaving(now, &upstream.id);
         }
         self.removed.remove(&name);
         self.foreign.remove(&name);
@@ -179,11 +184,11 @@
         let upstream = Arc::new(upstream);
         let is_leaving = upstream.state == UpstreamState::Leaving;
         let change = change_of(old.as_ref(), &upstream);
-        let news = match is_notice(old.as_ref(), &upstream) {
-            true => News::Leaving(upstream.id.clone()),
-            false => News::Listed(upstream.clone()),
+        let kind = match is_notice(old.as_ref(), &upstream) {
+            true => ChangeKind::Leaving(upstream.id.clone()),
+            false => ChangeKind::Listed(upstream.clone()),
         };
-        self.remember(now, position, news);
+        self.remember(now, position, kind);
         let entry = Entry {
             upstream: upstream.clone(),
             position,
@@ -192,7 +197,7 @@
         };
         self.entries.insert(name, entry);
         let ended = old.map(|old| old.upstream.id.clone());
-        change.map(|change| Applied {
+        change.map(|change| AppliedChange {
             ended: ended.filter(|ended| *ended != upstream.id),
             id: upstream.id.clone(),
             change,
@@ -216,12 +221,12 @@
         upstream.state == UpstreamState::Ready && (left || was_removed)
     }
 
-    fn remove(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<Applied> {
+    fn remove(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<AppliedChange> {
         let entry = self.entries.get(id)?;
         let grace_ends = self.returned_at.map(|returned| returned + RETURN_GRACE);
         let ready = entry.upstream.state == UpstreamState::Ready;
         if let Some(ends) = grace_ends.filter(|ends| *ends > now && ready) {
-            let applied = Applied {
+            let applied = AppliedChange {
                 id: entry.upstream.id.clone(),
                 change: DirectoryChange::Missing,
                 ended: None,
@@ -233,7 +238,12 @@
         self.drop_entry(now, id, position)
     }
 
-    fn drop_entry(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<Applied> {
+    fn drop_entry(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let instance = self.entries.remove(id)?.upstream.id.clone();
         let removal = Removal {
             position,
@@ -241,8 +251,8 @@
             instance: instance.clone(),
         };
         self.removed.insert(id.clone(), removal);
-        self.remember(now, position, News::Removed(instance.clone()));
-        Some(Applied {
+        self.remember(now, position, ChangeKind::Removed(instance.clone()));
+        Some(AppliedChange {
             id: instance.clone(),
             change: DirectoryChange::Removed,
             ended: Some(instance),
@@ -250,18 +260,19 @@
     }
 
     /// The newest record of a key names no upstream. True if this is news.
-    pub fn note_foreign(&mut self, id: &UpstreamId, position: Position) -> bool {
+    pub fn record_foreign(&mut self, id: &UpstreamId, position: Position) -> bool {
         self.foreign.insert(id.clone(), position) != Some(position)
     }
 
-    fn remember(&mut self, now: Time, position: Position, news: News) {
-        let name = news.id().upstream();
-        self.recent
-            .retain(|(_, change)| change.news.id().upstream() != name);
-        if self.recent.len() == RECENT_CHANGES_MAX {
-            self.recent.pop_front();
+    fn remember(&mut self, now: Time, position: Position, kind: ChangeKind) {
+        let name = kind.id().upstream();
+        self.recent_changes
+            .retain(|(_, change)| change.kind.id().upstream() != name);
+        if self.recent_changes.len() == RECENT_CHANGES_MAX {
+            self.recent_changes.pop_front();
         }
-        self.recent.push_back((now, Change { position, news }));
+        self.recent_changes
+            .push_back((now, Change { position, kind }));
     }
 
     /// Takes a whole list as of `position`: what it lacks was removed.
@@ -270,7 +281,7 @@
         now: Time,
         listed: Vec<(Upstream, Position)>,
         position: impl Into<Position>,
-    ) -> Vec<Applied> {
+    ) -> Vec<AppliedChange> {
         let position = position.into();
         let present: BTreeSet<UpstreamId> = listed
             .iter()
@@ -296,7 +307,7 @@
     }
 
     /// Drops what is missing and whose grace is over, and old memories.
-    pub fn lapse(&mut self, now: Time) -> Vec<Applied> {
+    pub fn expire(&mut self, now: Time) -> Vec<AppliedChange> {
         let gone: Vec<(UpstreamId, Position)> = self
             .entries
             .missing()
@@ -305,7 +316,7 @@
             .collect();
         let recent = |at: Time| now.since(at) < REMOVAL_REMEMBERED;
         self.removed.retain(|_, removal| recent(removal.at));
-        self.witnessed.retain(|_, at| recent(*at));
+        self.observed_leaving.retain(|_, at| recent(*at));
         self.cold_until.retain(|_, until| *until > now);
         let dropped = gone.iter();
         dropped
@@ -314,13 +325,13 @@
     }
 
     /// An answer or a peer showed that the instance is leaving or gone. True if that is news.
-    pub fn witness(&mut self, now: Time, id: &InstanceId) -> bool {
-        self.witnessed.insert(id.clone(), now).is_none()
+    pub fn observe_leaving(&mut self, now: Time, id: &InstanceId) -> bool {
+        self.observed_leaving.insert(id.clone(), now).is_none()
     }
 
     /// Instances that were seen leaving, beside what the log says.
-    pub fn witnessed(&self) -> impl Iterator<Item = &InstanceId> {
-        self.witnessed.keys()
+    pub fn observed_leaving(&self) -> impl Iterator<Item = &InstanceId> {
+        self.observed_leaving.keys()
     }
 
     /// Since when an instance is known to be leaving or gone; none while it takes new work, and once a
@@ -338,7 +349,7 @@
         let removed = removed.filter(|removal| removal.instance == *id);
         listed
             .or(removed.map(|removal| removal.at))
-            .or_else(|| self.witnessed.get(id).copied())
+            .or_else(|| self.observed_leaving.get(id).copied())
     }
 
     /// The listed upstreams of a service that were seen leaving less than `within` ago, by id.
--- a/src/gateway/directory/taking.rs
+++ b/src/gateway/directory/taking.rs
@@ -103,12 +103,12 @@
 
     /// Whether a listed upstream takes new work, where operators let it.
     fn takes_work(&self, upstream: &Upstream) -> bool {
-        self.is_sound(upstream) && !self.evacuations.contains(&upstream.data_centre)
+        self.is_live(upstream) && !self.evacuations.contains(&upstream.data_centre)
     }
 
     /// Whether a listed upstream is neither leaving nor gone.
-    fn is_sound(&self, upstream: &Upstream) -> bool {
-        upstream.state == UpstreamState::Ready && !self.witnessed.contains_key(&upstream.id)
+    fn is_live(&self, upstream: &Upstream) -> bool {
+        upstream.state == UpstreamState::Ready && !self.observed_leaving.contains_key(&upstream.id)
     }
 
     /// The upstreams of a service that take new work.
@@ -146,9 +146,9 @@
     }
 
     /// All upstreams that are neither leaving nor gone, also those that operators give no work.
-    pub fn all_sound(&self) -> Vec<Arc<Upstream>> {
+    pub fn all_live(&self) -> Vec<Arc<Upstream>> {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
-        let sound = upstreams.filter(|upstream| self.is_sound(upstream));
+        let sound = upstreams.filter(|upstream| self.is_live(upstream));
         sound.cloned().collect()
     }
 
@@ -156,7 +156,7 @@
     pub fn is_evacuated(&self, service: &ServiceId) -> bool {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
         let mut sound = upstreams
-            .filter(|upstream| upstream.service == *service && self.is_sound(upstream))
+            .filter(|upstream| upstream.service == *service && self.is_live(upstream))
             .peekable();
         sound.peek().is_some() && sound.all(|upstream| !self.takes_work(upstream))
     }
@@ -179,7 +179,7 @@
     }
 
     /// Whether any upstream is cold.
-    pub fn any_cold(&self, now: Time) -> bool {
+    pub fn has_cold(&self, now: Time) -> bool {
         self.cold_until.values().any(|until| *until > now)
     }
 
--- a/src/gateway/directory/telling.rs
+++ b/src/gateway/directory/telling.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::Applied;
+use super::AppliedChange;
 use super::Change;
+use super::ChangeKind;
 use super::Directory;
-use super::News;
 use super::Upstream;
 use super::UpstreamState;
 use crate::clock::Time;
@@ -17,22 +17,22 @@
 
 impl Directory {
     /// Takes a change that another host tells.
-    pub fn take(&mut self, now: Time, change: &Change) -> Option<Applied> {
-        let upstream = match &change.news {
-            News::Listed(upstream) => Some((**upstream).clone()),
-            News::Removed(_) => None,
-            News::Leaving(id) => {
+    pub fn apply_change(&mut self, now: Time, change: &Change) -> Option<AppliedChange> {
+        let upstream = match &change.kind {
+            ChangeKind::Listed(upstream) => Some((**upstream).clone()),
+            ChangeKind::Removed(_) => None,
+            ChangeKind::Leaving(id) => {
                 let mut upstream = (**self.get(id)?).clone();
                 upstream.state = UpstreamState::Leaving;
                 Some(upstream)
             }
         };
-        self.apply(now, change.news.id().upstream(), upstream, change.position)
+        self.apply(now, change.kind.id().upstream(), upstream, change.position)
     }
 
     /// The last changes, for other hosts.
-    pub fn recent(&self, now: Time) -> Vec<Change> {
-        let recent = self.recent.iter();
+    pub fn recent_changes(&self, now: Time) -> Vec<Change> {
+        let recent = self.recent_changes.iter();
         recent
             .filter(|(at, _)| now.since(*at) < CHANGES_TOLD_FOR)
             .map(|(_, change)| change.clone())
@@ -44,11 +44,11 @@
         let position = position.into();
         let listed = self.entries.values().map(|entry| Change {
             position: entry.position,
-            news: News::Listed(entry.upstream.clone()),
+            kind: ChangeKind::Listed(entry.upstream.clone()),
         });
         let removed = self.removed.values().map(|removal| Change {
             position: removal.position,
-            news: News::Removed(removal.instance.clone()),
+            kind: ChangeKind::Removed(removal.instance.clone()),
         });
         let changes = listed.chain(removed);
         changes
--- a/src/gateway/directory/tests.rs
+++ b/src/gateway/directory/tests.rs
@@ -3,7 +3,7 @@
 mod listing;
 mod missing;
 
-use super::Applied;
+use super::AppliedChange;
 use super::Directory;
 use super::DirectoryChange;
 use super::RETURN_GRACE;
@@ -101,14 +101,14 @@
 #[test]
 fn what_is_missing_after_an_outage_counts_as_gone_only_after_the_grace() {
     let mut directory = directory_of(&["a", "b"]);
-    directory.log_lost();
+    directory.mark_log_unreachable();
     let back = Time::from_ms(10_000);
-    directory.log_back(back);
+    directory.mark_log_reachable(back);
 
     let change = directory.apply(back, &UpstreamId::new("a"), None, 9);
-    let early = directory.lapse(back + RETURN_GRACE / 2);
+    let early = directory.expire(back + RETURN_GRACE / 2);
     let ids_early = ready_ids(&directory);
-    let late = directory.lapse(back + RETURN_GRACE);
+    let late = directory.expire(back + RETURN_GRACE);
 
     assert_eq!(change.unwrap().change, DirectoryChange::Missing);
     assert!(early.is_empty());
@@ -121,8 +121,8 @@
 #[test]
 fn an_entry_that_is_back_within_the_grace_stays() {
     let mut directory = directory_of(&["a"]);
-    directory.log_lost();
-    directory.log_back(Time::ZERO);
+    directory.mark_log_unreachable();
+    directory.mark_log_reachable(Time::ZERO);
     directory.apply(Time::ZERO, &UpstreamId::new("a"), None, 9);
 
     directory.apply(
@@ -131,7 +131,7 @@
         Some(ready("a")),
         10,
     );
-    let gone = directory.lapse(Time::from_ms(5_000));
+    let gone = directory.expire(Time::from_ms(5_000));
 
     assert!(gone.is_empty());
     assert_eq!(ready_ids(&directory), ["a"]);
@@ -148,7 +148,7 @@
     );
 
     assert_eq!(ready_ids(&directory), ["b", "c"]);
-    let removed = |applied: &Applied| {
+    let removed = |applied: &AppliedChange| {
         applied.id == instance("a") && applied.change == DirectoryChange::Removed
     };
     assert!(changes.iter().any(removed));
@@ -159,8 +159,8 @@
 fn a_witness_goes_before_the_list() {
     let mut directory = directory_of(&["a"]);
 
-    let news = directory.witness(Time::from_ms(3), &instance("a"));
-    let again = directory.witness(Time::from_ms(4), &instance("a"));
+    let news = directory.observe_leaving(Time::from_ms(3), &instance("a"));
+    let again = directory.observe_leaving(Time::from_ms(4), &instance("a"));
 
     assert!(news && !again);
     assert!(ready_ids(&directory).is_empty());
@@ -195,8 +195,8 @@
     );
     reader.apply(Time::ZERO, &UpstreamId::new("b"), None, 7);
 
-    for change in reader.recent(Time::ZERO) {
-        listener.take(Time::ZERO, &change);
+    for change in reader.recent_changes(Time::ZERO) {
+        listener.apply_change(Time::ZERO, &change);
     }
 
     assert_eq!(listener.digest(), reader.digest());
@@ -208,7 +208,7 @@
     let mut directory = Directory::default();
     let id = UpstreamId::new("a");
 
-    let news = [4, 4, 6].map(|offset| directory.note_foreign(&id, offset.into()));
+    let news = [4, 4, 6].map(|offset| directory.record_foreign(&id, offset.into()));
 
     assert_eq!(news, [true, false, true]);
 }
@@ -232,7 +232,7 @@
 
     let changes = reader.changed_from(known);
     for change in &changes {
-        listener.take(Time::ZERO, change);
+        listener.apply_change(Time::ZERO, change);
     }
 
     assert_eq!(changes.len(), 3);
@@ -243,9 +243,9 @@
 fn changes_are_told_for_some_rounds_and_then_no_more() {
     let mut directory = directory_of(&["a"]);
 
-    let told = [0, 1_700, 1_800].map(|ms| directory.recent(Time::from_ms(ms)).len());
+    let told = [0, 1_700, 1_800].map(|ms| directory.recent_changes(Time::from_ms(ms)).len());
     directory.apply(Time::from_ms(1_800), &UpstreamId::new("a"), None, 9);
 
     assert_eq!(told, [1, 1, 0]);
-    assert_eq!(directory.recent(Time::from_ms(1_900)).len(), 1);
+    assert_eq!(directory.recent_changes(Time::from_ms(1_900)).len(), 1);
 }
--- a/src/gateway/directory/tests/eras.rs
+++ b/src/gateway/directory/tests/eras.rs
@@ -15,7 +15,7 @@
 /// A directory that read `ids` in the first era, and the position of an offset in the second.
 fn returned(ids: &[&str]) -> (Directory, impl Fn(u64) -> Position) {
     let mut directory = directory_of(ids);
-    directory.log_returned(Time::from_ms(1_000));
+    directory.mark_log_returned(Time::from_ms(1_000));
     (directory, |offset| Position::new(Era::new(2), offset))
 }
 
@@ -42,7 +42,7 @@
     directory.replace(now, vec![(ready("a"), second(0))], second(1));
     directory.apply(now, &UpstreamId::new("b"), Some(ready("b")), second(1));
     let in_grace = ready_ids(&directory);
-    directory.lapse(Time::from_ms(1_000) + RETURN_GRACE);
+    directory.expire(Time::from_ms(1_000) + RETURN_GRACE);
 
     assert_eq!(in_grace, ["a", "b", "c"]);
     assert_eq!(ready_ids(&directory), ["a", "b"]);
@@ -55,7 +55,7 @@
     let leaving = Some(upstream("a", UpstreamState::Leaving));
     directory.apply(now, &UpstreamId::new("a"), leaving, 3);
     directory.apply(now, &UpstreamId::new("b"), None, 4);
-    directory.log_returned(Time::from_ms(1_000));
+    directory.mark_log_returned(Time::from_ms(1_000));
     let second = |offset| Position::new(Era::new(2), offset);
 
     let copy = vec![
@@ -66,7 +66,7 @@
     directory.replace(Time::from_ms(1_100), copy, second(3));
 
     assert_eq!(ready_ids(&directory), ["c"]);
-    assert_eq!(directory.witnessed().count(), 2);
+    assert_eq!(directory.observed_leaving().count(), 2);
 }
 
 #[test]
--- a/src/gateway/directory/tests/instances.rs
+++ b/src/gateway/directory/tests/instances.rs
@@ -4,9 +4,9 @@
 use super::upstream;
 use crate::clock::Time;
 use crate::gateway::directory::Change;
+use crate::gateway::directory::ChangeKind;
 use crate::gateway::directory::Directory;
 use crate::gateway::directory::DirectoryChange;
-use crate::gateway::directory::News;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::instance::InstanceId;
@@ -32,7 +32,7 @@
 fn an_upstream_that_was_seen_leaving_takes_work_when_it_has_started_again() {
     let mut directory = Directory::default();
     apply(&mut directory, born("a", 5, UpstreamState::Ready), 1);
-    directory.witness(Time::ZERO, &born("a", 5, UpstreamState::Ready).id);
+    directory.observe_leaving(Time::ZERO, &born("a", 5, UpstreamState::Ready).id);
     let before = ready_ids(&directory);
 
     let change = apply(&mut directory, born("a", 9, UpstreamState::Ready), 2);
@@ -72,7 +72,7 @@
     let mut directory = Directory::default();
     apply(&mut directory, born("a", 9, UpstreamState::Ready), 1);
 
-    directory.witness(Time::ZERO, &born("a", 5, UpstreamState::Ready).id);
+    directory.observe_leaving(Time::ZERO, &born("a", 5, UpstreamState::Ready).id);
 
     assert_eq!(ready_ids(&directory), ["a"]);
 }
@@ -125,11 +125,11 @@
     apply(&mut directory, born("a", 9, UpstreamState::Ready), 1);
     let earlier = born("a", 5, UpstreamState::Ready).id;
 
-    let taken = directory.take(
+    let taken = directory.apply_change(
         Time::ZERO,
         &Change {
             position: 7.into(),
-            news: News::Leaving(earlier),
+            kind: ChangeKind::Leaving(earlier),
         },
     );
 
@@ -137,7 +137,7 @@
     assert_eq!(ready_ids(&directory), ["a"]);
 }
 
-/// News of one upstream reaches hosts in any order and more than once.
+/// ChangeKind of one upstream reaches hosts in any order and more than once.
 #[test]
 fn hosts_list_the_same_whatever_order_they_hear_records_in() {
     fn lists_the_same(starts: Vec<u8>, order: Vec<usize>) -> bool {
--- a/src/gateway/directory/tests/listing.rs
+++ b/src/gateway/directory/tests/listing.rs
@@ -56,11 +56,11 @@
     directory.apply(Time::ZERO, &UpstreamId::new("up-1"), Some(first), 3);
     directory.advance(4);
 
-    let before = directory.knows_from(4.into());
+    let before = directory.has_record_from(4.into());
     let later = upstream("up-2", UpstreamState::Ready);
     directory.apply(Time::ZERO, &UpstreamId::new("up-2"), Some(later), 9);
 
     assert!(!before);
-    assert!(directory.knows_from(4.into()) && directory.knows_from(9.into()));
-    assert!(!directory.knows_from(10.into()));
+    assert!(directory.has_record_from(4.into()) && directory.has_record_from(9.into()));
+    assert!(!directory.has_record_from(10.into()));
 }
--- a/src/gateway/directory/tests/missing.rs
+++ b/src/gateway/directory/tests/missing.rs
@@ -17,15 +17,15 @@
     let mut reader = directory_of(&["a", "b"]);
     reader.apply(BACK, &UpstreamId::new("a"), None, 9);
     let mut returned = directory_of(&["a", "b"]);
-    returned.log_lost();
-    returned.log_back(BACK);
+    returned.mark_log_unreachable();
+    returned.mark_log_reachable(BACK);
     returned.replace(BACK, vec![(ready("b"), 1.into())], END);
     (reader, returned)
 }
 
 fn tell(now: Time, from: &Directory, to: &mut Directory) {
     for change in from.changed_from(0) {
-        to.take(now, &change);
+        to.apply_change(now, &change);
     }
 }
 
@@ -52,7 +52,7 @@
 
     tell(BACK, &reader, &mut returned);
     tell(BACK, &other, &mut returned);
-    returned.lapse(later);
+    returned.expire(later);
     tell(later, &returned, &mut other);
 
     assert_eq!(ready_ids(&returned), ["b"]);
@@ -65,7 +65,7 @@
     returned.apply(BACK, &UpstreamId::new("a"), Some(ready("a")), END);
 
     tell(BACK, &returned, &mut reader);
-    returned.lapse(BACK + RETURN_GRACE);
+    returned.expire(BACK + RETURN_GRACE);
 
     assert_eq!(ready_ids(&returned), ["a", "b"]);
     assert_eq!(ready_ids(&reader), ["a", "b"]);
--- a/src/gateway/directory/upstream.rs
+++ b/src/gateway/directory/upstream.rs
@@ -57,7 +57,7 @@
 }
 
 /// Has upstreams share the text of names that many of them have.
-pub(crate) fn share_names(list: &mut [(Upstream, Position)]) {
+pub(crate) fn intern_names(list: &mut [(Upstream, Position)]) {
     let mut services: HashSet<ServiceId> = HashSet::new();
     let mut data_centres: HashSet<DataCentre> = HashSet::new();
     let mut versions: HashSet<VersionId> = HashSet::new();
@@ -114,7 +114,7 @@
 
 /// A change that was taken into the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Applied {
+pub struct AppliedChange {
     /// The instance that it is about.
     pub id: InstanceId,
     /// What became of it.
@@ -129,12 +129,13 @@
     /// The position of its record.
     pub position: Position,
     /// What became of an upstream.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub kind: ChangeKind,
 }
 
 /// What became of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum ChangeKind {
     /// It is listed like this.
     Listed(Arc<Upstream>),
     /// It is listed as before, but leaving.
@@ -143,12 +144,12 @@
     Removed(InstanceId),
 }
 
-impl News {
+impl ChangeKind {
     /// Whose.
     pub fn id(&self) -> &InstanceId {
         match self {
-            News::Listed(upstream) => &upstream.id,
-            News::Leaving(id) | News::Removed(id) => id,
+            ChangeKind::Listed(upstream) => &upstream.id,
+            ChangeKind::Leaving(id) | ChangeKind::Removed(id) => id,
         }
     }
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -421,7 +421,7 @@
 
 /// Says once of each record that it names no upstream.
 fn note_foreign(shared: &Shared, id: &UpstreamId, at: Position, value: &[u8], error: &Error) {
-    if !shared.directory(|directory| directory.note_foreign(id, at)) {
+    if !shared.directory(|directory| directory.record_foreign(id, at)) {
         return;
     }
     telemetry::count(Metric::ForeignRecordsTotal);
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -253,9 +253,9 @@
     shared.directory(|directory| {
         datagram.upstreams = directory.position();
         datagram.upstreams_digest = directory.digest();
-        datagram.leaving = directory.witnessed().cloned().collect();
+        datagram.leaving = directory.observed_leaving().cloned().collect();
         if datagram.reading.upstreams {
-            datagram.changes = directory.recent(now);
+            datagram.changes = directory.recent_changes(now);
         }
     });
     datagram
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -201,7 +201,7 @@
     let mut changes = Vec::new();
     let same = shared.directory(|directory| {
         for change in told.changes {
-            let taken = directory.take(now, change);
+            let taken = directory.apply_change(now, change);
             changes.extend(taken);
         }
         let same = directory.digest() == told.digest;
--- a/src/gateway/gossip/spread.rs
+++ b/src/gateway/gossip/spread.rs
@@ -15,7 +15,7 @@
 use crate::gateway::datagram::PART_CHANGES;
 use crate::gateway::datagram::ToldChanges;
 use crate::gateway::directory::Change;
-use crate::gateway::directory::News;
+use crate::gateway::directory::ChangeKind;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
@@ -47,9 +47,9 @@
             self.counted_from = now;
             self.listed = 0;
         }
-        changes.retain(|change| match change.news {
-            News::Leaving(_) | News::Removed(_) => true,
-            News::Listed(_) => {
+        changes.retain(|change| match change.kind {
+            ChangeKind::Leaving(_) | ChangeKind::Removed(_) => true,
+            ChangeKind::Listed(_) => {
                 self.listed += 1;
                 self.listed <= LISTED_MAX
             }
@@ -63,7 +63,7 @@
         }
         let now = shared.now();
         let (position, digest, mut changes) = shared.directory(|directory| {
-            let changes = directory.recent(now);
+            let changes = directory.recent_changes(now);
             (directory.position(), directory.digest(), changes)
         });
         if !is_much(shared, &changes) {
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -302,7 +302,7 @@
         shared.loads().with(|loads| loads.expire(now));
         shared.review_suspects();
         shared.review_rollouts();
-        let gone = shared.directory(|directory| directory.lapse(now));
+        let gone = shared.directory(|directory| directory.expire(now));
         shared.record_expired(gone);
         shared.expire_evacuations();
         shared.expire_cold_sends();
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -96,7 +96,7 @@
         let bytes = zstd::bulk::decompress(&self.packed, bytes).map_err(unreadable)?;
         let mut list: Vec<(Upstream, Position)> =
             postcard::from_bytes(&bytes).map_err(unreadable)?;
-        directory::share_names(&mut list);
+        directory::intern_names(&mut list);
         Ok(list)
     }
 }
@@ -332,11 +332,11 @@
             UpstreamsTold::All(_) => directory.replace(now, all, page.position),
             UpstreamsTold::Changes(told) => told
                 .iter()
-                .filter_map(|change| directory.take(now, change))
+                .filter_map(|change| directory.apply_change(now, change))
                 .collect(),
         };
         // What this host has heard of later records alone is not in the peer's hash.
-        let is_same = directory.digest() == page.digest || directory.knows_from(page.position);
+        let is_same = directory.digest() == page.digest || directory.has_record_from(page.position);
         if is_same {
             directory.advance(page.position);
         }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -17,7 +17,7 @@
 use crate::gateway::datagram::decode;
 use crate::gateway::datagram::encode;
 use crate::gateway::directory::Change;
-use crate::gateway::directory::News;
+use crate::gateway::directory::ChangeKind;
 use crate::gateway::directory::Upstream;
 use crate::gateway::directory::UpstreamState;
 use crate::gateway::document::catchup::Holder;
@@ -292,7 +292,7 @@
     let id = UpstreamId::new(format!("i-{offset:010}"));
     Change {
         position: offset.into(),
-        news: News::Listed(Arc::new(Upstream {
+        kind: ChangeKind::Listed(Arc::new(Upstream {
             id: InstanceId::new(id, Some(1_790_000_000_000)),
             service: ServiceId::new("a-service-name"),
             address: "10.128.11.12:8080".parse().unwrap(),
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -235,7 +235,7 @@
             Some(_) => placement::subset(ready, &shared.settings().host),
             None => ready,
         };
-        (ready, directory.any_cold(now))
+        (ready, directory.has_cold(now))
     });
     if let Some(regions) = &admitted.regions {
         ready.retain(|upstream| is_within(shared, &upstream.data_centre, regions));
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -5,7 +5,7 @@
 use super::Shared;
 use super::lock;
 use crate::event::EventCode;
-use crate::gateway::directory::Applied;
+use crate::gateway::directory::AppliedChange;
 use crate::gateway::directory::DirectoryChange;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::protocol::Topic;
@@ -22,7 +22,7 @@
 impl Shared {
     /// Logs changes of the directory, drops the health state of instances that ended and notifies
     /// subscribers.
-    pub(crate) fn record_changes(&self, changes: Vec<Applied>, source: ChangeSource<'_>) {
+    pub(crate) fn record_changes(&self, changes: Vec<AppliedChange>, source: ChangeSource<'_>) {
         if changes.is_empty() {
             return;
         }
@@ -48,7 +48,7 @@
         }
     }
 
-    fn log_change(&self, applied: &Applied, source: &str) {
+    fn log_change(&self, applied: &AppliedChange, source: &str) {
         let id = &applied.id;
         let code = match applied.change {
             DirectoryChange::Leaving | DirectoryChange::Removed => EventCode::UpstreamLeaving,
@@ -96,7 +96,7 @@
     /// Records that an upstream was observed leaving or gone, and announces it to peers.
     pub fn observe_leaving(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
-        if !self.directory(|directory| directory.witness(now, upstream)) {
+        if !self.directory(|directory| directory.observe_leaving(now, upstream)) {
             return;
         }
         let line = self.log().line(EventCode::UpstreamLeaving);
@@ -120,7 +120,7 @@
     }
 
     /// Records the removal of upstreams that were not listed again after an outage of the log.
-    pub fn record_expired(&self, expired: Vec<Applied>) {
+    pub fn record_expired(&self, expired: Vec<AppliedChange>) {
         self.record_changes(
             expired,
             ChangeSource::Local("missing since the log's return"),
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -62,7 +62,7 @@
             .write();
         if is_restore {
             let now = self.now();
-            self.directory(|directory| directory.log_returned(now));
+            self.directory(|directory| directory.mark_log_returned(now));
             self.suspects(|suspects| suspects.mark_unwritten());
             telemetry::count(Metric::LogReturnsTotal);
         }
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -124,7 +124,7 @@
             return;
         };
         if topic == Topic::Upstreams {
-            self.directory(|directory| directory.log_back(now));
+            self.directory(|directory| directory.mark_log_reachable(now));
         }
         let line = self.log().line(EventCode::ConfigLogReachable);
         line.with("topic", topic.name())
@@ -150,7 +150,7 @@
             return;
         }
         if topic == Topic::Upstreams {
-            self.directory(|directory| directory.log_lost());
+            self.directory(|directory| directory.mark_log_unreachable());
         }
         let line = self.log().line(EventCode::ConfigLogUnreachable);
         line.with("topic", topic.name())
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -122,7 +122,7 @@
         if !self.follows_topic(Topic::Upstreams) {
             return ListedUpstreams::Unknown;
         }
-        let sound = self.directory(|directory| directory.all_sound());
+        let sound = self.directory(|directory| directory.all_live());
         let instances = sound.iter().map(|upstream| &upstream.id);
         let reachable = instances.filter(|id| !self.is_unreachable(now, id));
         ListedUpstreams::Fresh(reachable.map(InstanceId::key).collect())
