--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -17,8 +17,8 @@
 use self::entry::Entry;
 use self::entry::Missing;
 use self::entry::Removal;
-use self::entry::change_of;
-use self::entry::is_notice;
+use self::entry::classify_change;
+use self::entry::is_leaving_notice;
 use self::listing::Listing;
 use crate::clock::Time;
 use crate::gateway::evacuations::Evacuations;
@@ -30,8 +30,8 @@
 
 mod entry;
 mod listing;
-mod taking;
-mod telling;
+mod selection;
+mod sync;
 mod upstream;
 
 pub use self::upstream::AppliedChange;
@@ -47,7 +47,7 @@
 pub const RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
 /// Removals are remembered for this long, so that a peer's older list brings none back.
-const REMOVAL_REMEMBERED: Duration = Duration::from_secs(120);
+const REMOVAL_TTL: Duration = Duration::from_secs(120);
 
 /// A copy of the log from which it returns is no older than this: "some seconds" by the platform's word. What
 /// was removed longer ago than that, and is listed again, has listed itself.
@@ -72,8 +72,8 @@
     rollouts: Rollouts,
     /// Until when upstreams that listed themselves as cold are so.
     cold_until: BTreeMap<InstanceId, Time>,
-    away: bool,
-    returned_at: Option<Time>,
+    log_unreachable: bool,
+    log_returned_at: Option<Time>,
     recent_changes: VecDeque<(Time, Change)>,
 }
 
@@ -95,18 +95,18 @@
 
     /// The log returned from an older copy: entries written since are gone until they are written again.
     pub fn mark_log_returned(&mut self, now: Time) {
-        self.returned_at = Some(now);
+        self.log_returned_at = Some(now);
     }
 
     /// The log cannot be read.
     pub fn mark_log_unreachable(&mut self) {
-        self.away = true;
+        self.log_unreachable = true;
     }
 
     /// The log can be read again.
     pub fn mark_log_reachable(&mut self, now: Time) {
-        if std::mem::take(&mut self.away) {
-            self.returned_at = Some(now);
+        if std::mem::take(&mut self.log_unreachable) {
+            self.log_returned_at = Some(now);
         }
     }
 
@@ -119,7 +119,7 @@
         position: impl Into<Position>,
     ) -> Option<AppliedChange> {
         let position = position.into();
-        let known = self.entries.get(id).map(Entry::known_to);
+        let known = self.entries.get(id).map(Entry::latest_position);
         let removed = self.removed.get(id).map(|removal| removal.position);
         if known.max(removed).is_some_and(|newest| newest > position) {
             return None;
@@ -127,18 +127,18 @@
         self.newest_record = self.newest_record.max(position);
         if upstream
             .as_ref()
-            .is_some_and(|it| self.is_listed_so(it, position))
+            .is_some_and(|it| self.is_already_listed(it, position))
         {
             return None;
         }
         match upstream {
-            Some(upstream) => self.list(now, upstream, position),
-            None => self.remove(now, id, position),
+            Some(upstream) => self.apply_listing(now, upstream, position),
+            None => self.apply_removal(now, id, position),
         }
     }
 
     /// Whether an upstream is listed by this record already. Hosts tell each other the same many times.
-    fn is_listed_so(&self, upstream: &Upstream, position: Position) -> bool {
+    fn is_already_listed(&self, upstream: &Upstream, position: Position) -> bool {
         let entry = self.entries.get(upstream.id.upstream());
         entry.is_some_and(|entry| {
             entry.position == position
@@ -155,7 +155,7 @@
         listed.or(removed).and_then(InstanceId::born_ms)
     }
 
-    fn list(
+    fn apply_listing(
         &mut self,
         now: Time,
         mut upstream: Upstream,
@@ -168,7 +168,7 @@
             return None;
         }
         upstream.id = InstanceId::new(name.clone(), born_ms);
-        if self.is_shown_again(now, &upstream, position) {
+        if self.is_stale_ready(now, &upstream, position) {
             self.observe_leaving(now, &upstream.id);
         }
         self.removed.remove(&name);
@@ -179,16 +179,16 @@
             .filter(|old| old.upstream.id == upstream.id)
             .and_then(|old| old.leaving_since);
         if old.as_ref().is_none_or(|old| old.position < position) {
-            self.note_cold(now, &upstream);
+            self.record_cold(now, &upstream);
         }
         let upstream = Arc::new(upstream);
         let is_leaving = upstream.state == UpstreamState::Leaving;
-        let change = change_of(old.as_ref(), &upstream);
-        let kind = match is_notice(old.as_ref(), &upstream) {
+        let change = classify_change(old.as_ref(), &upstream);
+        let kind = match is_leaving_notice(old.as_ref(), &upstream) {
             true => ChangeKind::Leaving(upstream.id.clone()),
             false => ChangeKind::Listed(upstream.clone()),
         };
-        self.remember(now, position, kind);
+        self.record_change(now, position, kind);
         let entry = Entry {
             upstream: upstream.clone(),
             position,
@@ -206,7 +206,7 @@
 
     /// Whether a record shows an instance ready of which an earlier history of the log said that it leaves or
     /// is gone: the copy from which the log returned is older than that.
-    fn is_shown_again(&self, now: Time, upstream: &Upstream, position: Position) -> bool {
+    fn is_stale_ready(&self, now: Time, upstream: &Upstream, position: Position) -> bool {
         let name = upstream.id.upstream();
         let left = self.entries.get(name).is_some_and(|entry| {
             entry.upstream.id == upstream.id
@@ -221,9 +221,14 @@
         upstream.state == UpstreamState::Ready && (left || was_removed)
     }
 
-    fn remove(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<AppliedChange> {
+    fn apply_removal(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let entry = self.entries.get(id)?;
-        let grace_ends = self.returned_at.map(|returned| returned + RETURN_GRACE);
+        let grace_ends = self.log_returned_at.map(|returned| returned + RETURN_GRACE);
         let ready = entry.upstream.state == UpstreamState::Ready;
         if let Some(ends) = grace_ends.filter(|ends| *ends > now && ready) {
             let applied = AppliedChange {
@@ -232,13 +237,13 @@
                 ended: None,
             };
             let until = ends;
-            self.entries.set_missing(id, Missing { position, until });
+            self.entries.mark_missing(id, Missing { position, until });
             return Some(applied);
         }
-        self.drop_entry(now, id, position)
+        self.remove_entry(now, id, position)
     }
 
-    fn drop_entry(
+    fn remove_entry(
         &mut self,
         now: Time,
         id: &UpstreamId,
@@ -251,7 +256,7 @@
             instance: instance.clone(),
         };
         self.removed.insert(id.clone(), removal);
-        self.remember(now, position, ChangeKind::Removed(instance.clone()));
+        self.record_change(now, position, ChangeKind::Removed(instance.clone()));
         Some(AppliedChange {
             id: instance.clone(),
             change: DirectoryChange::Removed,
@@ -264,7 +269,7 @@
         self.foreign.insert(id.clone(), position) != Some(position)
     }
 
-    fn remember(&mut self, now: Time, position: Position, kind: ChangeKind) {
+    fn record_change(&mut self, now: Time, position: Position, kind: ChangeKind) {
         let name = kind.id().upstream();
         self.recent_changes
             .retain(|(_, change)| change.kind.id().upstream() != name);
@@ -287,7 +292,7 @@
             .iter()
             .map(|(upstream, _)| upstream.id.upstream().clone())
             .collect();
-        let lacking: Vec<UpstreamId> = self
+        let absent: Vec<UpstreamId> = self
             .entries
             .iter()
             .filter(|(id, entry)| !present.contains(*id) && entry.position < position)
@@ -299,8 +304,8 @@
             let id = upstream.id.upstream().clone();
             changes.extend(self.apply(now, &id, Some(upstream), at));
         }
-        for id in lacking {
-            changes.extend(self.remove(now, &id, position.before()));
+        for id in absent {
+            changes.extend(self.apply_removal(now, &id, position.before()));
         }
         self.advance(position);
         changes
@@ -314,13 +319,13 @@
             .filter(|(_, missing)| missing.until <= now)
             .map(|(id, missing)| (id.clone(), missing.position))
             .collect();
-        let recent = |at: Time| now.since(at) < REMOVAL_REMEMBERED;
+        let recent = |at: Time| now.since(at) < REMOVAL_TTL;
         self.removed.retain(|_, removal| recent(removal.at));
         self.observed_leaving.retain(|_, at| recent(*at));
         self.cold_until.retain(|_, until| *until > now);
         let dropped = gone.iter();
         dropped
-            .filter_map(|(id, position)| self.drop_entry(now, id, *position))
+            .filter_map(|(id, position)| self.remove_entry(now, id, *position))
             .collect()
     }
 
--- a/src/gateway/directory/entry.rs
+++ b/src/gateway/directory/entry.rs
@@ -21,7 +21,7 @@
 
 impl Entry {
     /// The last position of the log that says what is known of it.
-    pub(super) fn known_to(&self) -> Position {
+    pub(super) fn latest_position(&self) -> Position {
         let missing = self.missing.as_ref();
         missing.map_or(self.position, |missing| missing.position)
     }
@@ -45,7 +45,7 @@
 }
 
 /// What it means for an upstream that was known as `old` to be listed as `new`.
-pub(super) fn change_of(old: Option<&Entry>, new: &Arc<Upstream>) -> Option<DirectoryChange> {
+pub(super) fn classify_change(old: Option<&Entry>, new: &Arc<Upstream>) -> Option<DirectoryChange> {
     let Some(old) = old else {
         return Some(match new.state {
             UpstreamState::Ready => DirectoryChange::Added,
@@ -55,18 +55,18 @@
     if old.upstream.id != new.id {
         return Some(DirectoryChange::Restarted);
     }
-    if old.upstream.is_same_but_for_cold(new) && old.missing.is_none() {
+    if old.upstream.eq_ignoring_cold(new) && old.missing.is_none() {
         let is_cold_again = old.upstream.cold_left_ms == 0 && new.cold_left_ms > 0;
         return is_cold_again.then_some(DirectoryChange::Cold);
     }
-    match is_notice(Some(old), new) {
+    match is_leaving_notice(Some(old), new) {
         true => Some(DirectoryChange::Leaving),
         false => Some(DirectoryChange::Changed),
     }
 }
 
 /// Whether an instance that took work says that it is leaving.
-pub(super) fn is_notice(old: Option<&Entry>, new: &Upstream) -> bool {
+pub(super) fn is_leaving_notice(old: Option<&Entry>, new: &Upstream) -> bool {
     let was_ready = old
         .is_some_and(|old| old.upstream.id == new.id && old.upstream.state == UpstreamState::Ready);
     was_ready && new.state == UpstreamState::Leaving
--- a/src/gateway/directory/listing.rs
+++ b/src/gateway/directory/listing.rs
@@ -21,14 +21,14 @@
 /// Spreads eras over the seeds of a digest (2^64 over the golden ratio).
 const ERA_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
-type Place = (ServiceId, DataCentre);
+type Location = (ServiceId, DataCentre);
 
 /// Listed upstreams by id.
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     entries: BTreeMap<UpstreamId, Entry>,
     digest: u64,
-    places: BTreeMap<Place, BTreeMap<UpstreamId, Arc<Upstream>>>,
+    by_location: BTreeMap<Location, BTreeMap<UpstreamId, Arc<Upstream>>>,
     data_centres: HashMap<InstanceKey, DataCentre>,
     missing: BTreeSet<UpstreamId>,
 }
@@ -60,20 +60,24 @@
     }
 
     /// The upstreams of a service in a data centre, by id.
-    pub(super) fn in_place(
+    pub(super) fn in_data_centre(
         &self,
         service: &ServiceId,
         data_centre: &DataCentre,
     ) -> impl Iterator<Item = &Arc<Upstream>> {
-        let place = (service.clone(), data_centre.clone());
-        let there = self.places.get(&place).into_iter();
-        there.flat_map(BTreeMap::values)
+        let location = (service.clone(), data_centre.clone());
+        let upstreams = self.by_location.get(&location).into_iter();
+        upstreams.flat_map(BTreeMap::values)
     }
 
     /// How many these are.
-    pub(super) fn count_in_place(&self, service: &ServiceId, data_centre: &DataCentre) -> usize {
-        let place = (service.clone(), data_centre.clone());
-        self.places.get(&place).map_or(0, BTreeMap::len)
+    pub(super) fn count_in_data_centre(
+        &self,
+        service: &ServiceId,
+        data_centre: &DataCentre,
+    ) -> usize {
+        let location = (service.clone(), data_centre.clone());
+        self.by_location.get(&location).map_or(0, BTreeMap::len)
     }
 
     /// Where the instance of a key stands.
@@ -87,7 +91,7 @@
         missing.filter_map(|id| Some((id, self.entries.get(id)?.missing?)))
     }
 
-    pub(super) fn set_missing(&mut self, id: &UpstreamId, missing: Missing) {
+    pub(super) fn mark_missing(&mut self, id: &UpstreamId, missing: Missing) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.missing = Some(missing);
             self.missing.insert(id.clone());
@@ -96,39 +100,39 @@
 
     /// Lists an upstream; its id must not be listed.
     pub(super) fn insert(&mut self, id: UpstreamId, entry: Entry) {
-        self.digest ^= digest_of(&id, &entry);
+        self.digest ^= entry_digest(&id, &entry);
         if entry.missing.is_some() {
             self.missing.insert(id.clone());
         }
         let upstream = entry.upstream.clone();
         self.data_centres
             .insert(upstream.id.key(), upstream.data_centre.clone());
-        let there = self.places.entry(place_of(&upstream)).or_default();
-        there.insert(id.clone(), upstream);
+        let upstreams = self.by_location.entry(location_of(&upstream)).or_default();
+        upstreams.insert(id.clone(), upstream);
         self.entries.insert(id, entry);
     }
 
     pub(super) fn remove(&mut self, id: &UpstreamId) -> Option<Entry> {
         let entry = self.entries.remove(id)?;
-        self.digest ^= digest_of(id, &entry);
+        self.digest ^= entry_digest(id, &entry);
         self.missing.remove(id);
         self.data_centres.remove(&entry.upstream.id.key());
-        let place = place_of(&entry.upstream);
-        if let Some(there) = self.places.get_mut(&place) {
-            there.remove(id);
-            if there.is_empty() {
-                self.places.remove(&place);
+        let location = location_of(&entry.upstream);
+        if let Some(upstreams) = self.by_location.get_mut(&location) {
+            upstreams.remove(id);
+            if upstreams.is_empty() {
+                self.by_location.remove(&location);
             }
         }
         Some(entry)
     }
 }
 
-fn place_of(upstream: &Upstream) -> Place {
+fn location_of(upstream: &Upstream) -> Location {
     (upstream.service.clone(), upstream.data_centre.clone())
 }
 
-fn digest_of(id: &UpstreamId, entry: &Entry) -> u64 {
+fn entry_digest(id: &UpstreamId, entry: &Entry) -> u64 {
     let leaving = entry.upstream.state == UpstreamState::Leaving;
     let Position { era, offset } = entry.position;
     let history = era.number().wrapping_mul(ERA_SEED);
--- a/src/gateway/directory/taking.rs
+++ b/src/gateway/directory/selection.rs
@@ -18,9 +18,9 @@
 use crate::id::VersionId;
 
 /// A version that is tried gets its share at few upstreams, so that each of them bears what it will bear later,
-const TRIED_PART: f64 = 0.08;
+const TRIAL_SHARE: f64 = 0.08;
 /// and at so many of each data centre at least: one that is ill says nothing of its version.
-const TRIED_MIN: usize = 3;
+const TRIAL_UPSTREAMS_MIN: usize = 3;
 
 impl Directory {
     /// What operators have evacuated.
@@ -72,10 +72,10 @@
             .cloned()
             .collect();
         match (track, chosen.is_empty()) {
-            (Track::Trial, false) => first_of_each_data_centre(chosen),
+            (Track::Trial, false) => trial_subset(chosen),
             (Track::Trial, true) => self.ready_for(service, Track::Stable, within),
             (Track::Stable, false) => chosen,
-            (Track::Stable, true) if self.lists_any(service, |up| allows(up, track)) => chosen,
+            (Track::Stable, true) if self.has_listed(service, |up| allows(up, track)) => chosen,
             (Track::Stable, true) => {
                 let allowed = ready.into_iter().filter(|up| allows(up, Track::Trial));
                 allowed.collect()
@@ -83,10 +83,10 @@
         }
     }
 
-    fn lists_any(&self, service: &ServiceId, is_meant: impl Fn(&Upstream) -> bool) -> bool {
+    fn has_listed(&self, service: &ServiceId, matches: impl Fn(&Upstream) -> bool) -> bool {
         let listed = self.entries.values().map(|entry| &entry.upstream);
         let mut of_service = listed.filter(|upstream| upstream.service == *service);
-        of_service.any(|upstream| is_meant(upstream))
+        of_service.any(|upstream| matches(upstream))
     }
 
     /// Upstreams of a version that take work, as far as they themselves say.
@@ -98,11 +98,11 @@
     /// Whether an instance takes new work.
     pub fn is_ready(&self, id: &InstanceId) -> bool {
         self.get(id)
-            .is_some_and(|upstream| self.takes_work(upstream))
+            .is_some_and(|upstream| self.accepts_work(upstream))
     }
 
     /// Whether a listed upstream takes new work, where operators let it.
-    fn takes_work(&self, upstream: &Upstream) -> bool {
+    fn accepts_work(&self, upstream: &Upstream) -> bool {
         self.is_live(upstream) && !self.evacuations.contains(&upstream.data_centre)
     }
 
@@ -116,21 +116,21 @@
         let entries = self.entries.values();
         entries
             .filter(|entry| entry.upstream.service == *service)
-            .filter(|entry| self.takes_work(&entry.upstream))
+            .filter(|entry| self.accepts_work(&entry.upstream))
             .map(|entry| entry.upstream.clone())
             .collect()
     }
 
     /// The same, of one data centre.
     pub fn ready_in(&self, service: &ServiceId, data_centre: &DataCentre) -> Vec<Arc<Upstream>> {
-        let there = self.entries.in_place(service, data_centre);
-        let ready = there.filter(|upstream| self.takes_work(upstream));
+        let upstreams = self.entries.in_data_centre(service, data_centre);
+        let ready = upstreams.filter(|upstream| self.accepts_work(upstream));
         ready.cloned().collect()
     }
 
     /// How many upstreams of a service a data centre lists.
     pub fn count_in(&self, service: &ServiceId, data_centre: &DataCentre) -> usize {
-        self.entries.count_in_place(service, data_centre)
+        self.entries.count_in_data_centre(service, data_centre)
     }
 
     /// Where the listed instance of a key stands.
@@ -141,24 +141,24 @@
     /// All upstreams that take new work.
     pub fn all_ready(&self) -> Vec<Arc<Upstream>> {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
-        let ready = upstreams.filter(|upstream| self.takes_work(upstream));
+        let ready = upstreams.filter(|upstream| self.accepts_work(upstream));
         ready.cloned().collect()
     }
 
     /// All upstreams that are neither leaving nor gone, also those that operators give no work.
     pub fn all_live(&self) -> Vec<Arc<Upstream>> {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
-        let sound = upstreams.filter(|upstream| self.is_live(upstream));
-        sound.cloned().collect()
+        let live = upstreams.filter(|upstream| self.is_live(upstream));
+        live.cloned().collect()
     }
 
     /// Whether a service has upstreams, and only an evacuation keeps all of them from new work.
     pub fn is_evacuated(&self, service: &ServiceId) -> bool {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
-        let mut sound = upstreams
+        let mut live = upstreams
             .filter(|upstream| upstream.service == *service && self.is_live(upstream))
             .peekable();
-        sound.peek().is_some() && sound.all(|upstream| !self.takes_work(upstream))
+        live.peek().is_some() && live.all(|upstream| !self.accepts_work(upstream))
     }
 
     /// The listed upstreams of a data centre.
@@ -168,7 +168,7 @@
     }
 
     /// Notes how long an upstream stays cold from now on, as its entry says.
-    pub(super) fn note_cold(&mut self, now: Time, upstream: &Upstream) {
+    pub(super) fn record_cold(&mut self, now: Time, upstream: &Upstream) {
         match upstream.cold_left_ms {
             0 => self.cold_until.remove(&upstream.id),
             left_ms => {
@@ -191,15 +191,18 @@
 }
 
 /// The first few of each data centre, the same for all hosts that list the same.
-fn first_of_each_data_centre(upstreams: Vec<Arc<Upstream>>) -> Vec<Arc<Upstream>> {
-    let mut by_place: BTreeMap<DataCentre, Vec<Arc<Upstream>>> = BTreeMap::new();
+fn trial_subset(upstreams: Vec<Arc<Upstream>>) -> Vec<Arc<Upstream>> {
+    let mut by_data_centre: BTreeMap<DataCentre, Vec<Arc<Upstream>>> = BTreeMap::new();
     for upstream in upstreams {
-        let place = upstream.data_centre.clone();
-        by_place.entry(place).or_default().push(upstream);
-    }
-    let first = by_place.into_values().flat_map(|there| {
-        let part = (there.len() as f64 * TRIED_PART).ceil() as usize;
-        there.into_iter().take(part.max(TRIED_MIN))
+        let data_centre = upstream.data_centre.clone();
+        by_data_centre
+            .entry(data_centre)
+            .or_default()
+            .push(upstream);
+    }
+    let first = by_data_centre.into_values().flat_map(|upstreams| {
+        let count = (upstreams.len() as f64 * TRIAL_SHARE).ceil() as usize;
+        upstreams.into_iter().take(count.max(TRIAL_UPSTREAMS_MIN))
     });
     first.collect()
 }
--- a/src/gateway/directory/telling.rs
+++ b/src/gateway/directory/sync.rs
@@ -13,7 +13,7 @@
 
 /// Changes are told again for this long, so that a datagram lost is made good: three rounds of a reader
 /// of 295 hosts.
-const CHANGES_TOLD_FOR: Duration = Duration::from_millis(1_800);
+const ANNOUNCE_WINDOW: Duration = Duration::from_millis(1_800);
 
 impl Directory {
     /// Takes a change that another host tells.
@@ -34,7 +34,7 @@
     pub fn recent_changes(&self, now: Time) -> Vec<Change> {
         let recent = self.recent_changes.iter();
         recent
-            .filter(|(at, _)| now.since(*at) < CHANGES_TOLD_FOR)
+            .filter(|(at, _)| now.since(*at) < ANNOUNCE_WINDOW)
             .map(|(_, change)| change.clone())
             .collect()
     }
--- a/src/gateway/directory/upstream.rs
+++ b/src/gateway/directory/upstream.rs
@@ -46,7 +46,7 @@
 
 impl Upstream {
     /// Whether two entries say the same but for how long the upstream stays cold, which passes by itself.
-    pub(super) fn is_same_but_for_cold(&self, other: &Upstream) -> bool {
+    pub(super) fn eq_ignoring_cold(&self, other: &Upstream) -> bool {
         let cold_left_ms = self.cold_left_ms;
         *self
             == Upstream {
@@ -62,13 +62,13 @@
     let mut data_centres: HashSet<DataCentre> = HashSet::new();
     let mut versions: HashSet<VersionId> = HashSet::new();
     for (upstream, _) in list {
-        upstream.service = shared(&mut services, &upstream.service);
-        upstream.data_centre = shared(&mut data_centres, &upstream.data_centre);
-        upstream.version = shared(&mut versions, &upstream.version);
+        upstream.service = intern(&mut services, &upstream.service);
+        upstream.data_centre = intern(&mut data_centres, &upstream.data_centre);
+        upstream.version = intern(&mut versions, &upstream.version);
     }
 }
 
-fn shared<T: Clone + Eq + Hash>(known: &mut HashSet<T>, name: &T) -> T {
+fn intern<T: Clone + Eq + Hash>(known: &mut HashSet<T>, name: &T) -> T {
     match known.get(name) {
         Some(name) => name.clone(),
         None => {
