--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,12 +1,12 @@
-//! The upstreams that the platform lists, folded from a keyed log.
+//! The directory of upstreams that the platform lists, built from a keyed log.
 //!
-//! While the log is away, entries may lapse although their upstreams live. A removal that is read
-//! soon after the log came back therefore takes effect only [`RETURN_GRACE`] after the return:
-//! a living upstream has listed itself again by then.
+//! While the log is unreachable, entries may expire although their upstreams are alive. A removal that is
+//! read soon after the log is reachable again therefore takes effect only [`RETURN_GRACE`] after that:
+//! an upstream that is alive has listed itself again by then.
 //!
-//! The directory is where instances of one upstream are told apart. Entries of one id are ordered by
-//! the log, but an entry of an earlier instance may be written late; it never replaces that of a
-//! later one. An entry that tells no start is about the instance that is known.
+//! The directory distinguishes the instances of an upstream. The log orders the entries of one id, but the
+//! entry of an earlier instance may be written late; it never replaces that of a later instance. An entry
+//! without a start time refers to the known instance.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -42,35 +42,37 @@
 pub use self::upstream::UpstreamState;
 pub(crate) use self::upstream::intern_names;
 
-/// After the log's return, living upstreams list themselves again within this time (the platform
-/// says about two seconds).
+/// Live upstreams list themselves again within this time of the log's return. The platform documents about
+/// two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Removals are remembered for this long, so that a peer's older list brings none back.
+/// How long removals are kept, so that a peer's older list does not restore a removed upstream.
 const REMOVAL_TTL: Duration = Duration::from_secs(120);
 
-/// A copy of the log from which it returns is no older than this: "some seconds" by the platform's word. What
-/// was removed longer ago than that, and is listed again, has listed itself.
+/// Maximum age of the copy from which the log is restored; the platform documents "some seconds". An
+/// upstream that was removed longer ago and is listed again has listed itself.
 const COPY_AGE_MAX: Duration = Duration::from_secs(30);
 
-/// Changes that are told again, at most: a third of the upstreams of a large deployment at once.
+/// Maximum number of recent changes that are announced repeatedly: a third of the upstreams of a large
+/// deployment.
 const RECENT_CHANGES_MAX: usize = 64;
 
-/// The upstreams as one host knows them.
+/// The upstreams that one host knows, with the evacuations and rollouts that apply to them.
 #[derive(Debug, Default)]
 pub struct Directory {
     position: Position,
-    /// The latest record that was taken, be it that some before it are not known.
+    /// Position of the latest record that was applied; earlier records may still be missing.
     newest_record: Position,
     entries: Listing,
     removed: BTreeMap<UpstreamId, Removal>,
-    /// Instances that answered at their address with another id, or refused as leaving.
+    /// Instances whose address answered with another id, or that refused a request because they are
+    /// leaving, with the time of the observation.
     observed_leaving: BTreeMap<InstanceId, Time>,
-    /// Keys whose newest record names no upstream, with the record's position.
+    /// Keys whose newest record does not describe an upstream, with the position of that record.
     foreign: BTreeMap<UpstreamId, Position>,
     evacuations: Evacuations,
     rollouts: Rollouts,
-    /// Until when upstreams that listed themselves as cold are so.
+    /// When the upstreams that listed themselves as cold become warm.
     cold_until: BTreeMap<InstanceId, Time>,
     log_unreachable: bool,
     log_returned_at: Option<Time>,
@@ -78,39 +80,41 @@
 }
 
 impl Directory {
-    /// The log's position up to which this directory was read.
+    /// The log position up to which this directory has been read.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Whether any record at `position` or after it is known.
+    /// Whether any record at or after `position` has been applied.
     pub fn has_record_from(&self, position: Position) -> bool {
         self.newest_record >= position
     }
 
-    /// The log up to `position` was read, here or by a peer.
+    /// Moves the read position forward to `position`, which this host or a peer has read up to.
     pub fn advance(&mut self, position: impl Into<Position>) {
         self.position = self.position.max(position.into());
     }
 
-    /// The log returned from an older copy: entries written since are gone until they are written again.
+    /// Records that the log was restored from an older copy. Entries written after that copy are missing
+    /// until they are written again.
     pub fn mark_log_returned(&mut self, now: Time) {
         self.log_returned_at = Some(now);
     }
 
-    /// The log cannot be read.
+    /// Records that the log cannot be read.
     pub fn mark_log_unreachable(&mut self) {
         self.log_unreachable = true;
     }
 
-    /// The log can be read again.
+    /// Records that the log can be read again.
     pub fn mark_log_reachable(&mut self, now: Time) {
         if std::mem::take(&mut self.log_unreachable) {
             self.log_returned_at = Some(now);
         }
     }
 
-    /// Takes one record; `upstream` is none where the key was removed, or its record names none.
+    /// Applies one record. `upstream` is `None` if the key was removed or its record does not describe an
+    /// upstream.
     pub fn apply(
         &mut self,
         now: Time,
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Whether an upstream is listed by this record already. Hosts tell each other the same many times.
+    /// Whether this record has already been applied. Hosts announce the same change to each other repeatedly.
     fn is_already_listed(&self, upstream: &Upstream, position: Position) -> bool {
         let entry = self.entries.get(upstream.id.upstream());
         entry.is_some_and(|entry| {
@@ -148,7 +152,7 @@
         })
     }
 
-    /// The latest start that is known of an upstream.
+    /// The latest known start time of an upstream.
     fn latest_born_ms(&self, id: &UpstreamId) -> Option<u64> {
         let listed = self.entries.get(id).map(|entry| &entry.upstream.id);
         let removed = self.removed.get(id).map(|removal| &removal.instance);
@@ -204,8 +208,8 @@
         })
     }
 
-    /// Whether a record shows an instance ready of which an earlier history of the log said that it leaves or
-    /// is gone: the copy from which the log returned is older than that.
+    /// Whether a record lists an instance as ready that an earlier era of the log listed as leaving or
+    /// removed. The log was then restored from a copy that predates the departure.
     fn is_stale_ready(&self, now: Time, upstream: &Upstream, position: Position) -> bool {
         let name = upstream.id.upstream();
         let left = self.entries.get(name).is_some_and(|entry| {
@@ -264,7 +268,8 @@
         })
     }
 
-    /// The newest record of a key names no upstream. True if this is news.
+    /// Records that the newest record of a key does not describe an upstream. Returns whether this record
+    /// was not known before.
     pub fn record_foreign(&mut self, id: &UpstreamId, position: Position) -> bool {
         self.foreign.insert(id.clone(), position) != Some(position)
     }
@@ -280,7 +285,7 @@
             .push_back((now, Change { position, kind }));
     }
 
-    /// Takes a whole list as of `position`: what it lacks was removed.
+    /// Applies a full list as of `position`. Known upstreams that the list lacks are removed.
     pub fn replace(
         &mut self,
         now: Time,
@@ -311,7 +316,7 @@
         changes
     }
 
-    /// Drops what is missing and whose grace is over, and old memories.
+    /// Removes missing upstreams whose grace period is over, and discards expired removals and observations.
     pub fn expire(&mut self, now: Time) -> Vec<AppliedChange> {
         let gone: Vec<(UpstreamId, Position)> = self
             .entries
@@ -329,19 +334,20 @@
             .collect()
     }
 
-    /// An answer or a peer showed that the instance is leaving or gone. True if that is news.
+    /// Records that an answer or a peer showed the instance to be leaving or gone. Returns whether this was
+    /// not known before.
     pub fn observe_leaving(&mut self, now: Time, id: &InstanceId) -> bool {
         self.observed_leaving.insert(id.clone(), now).is_none()
     }
 
-    /// Instances that were seen leaving, beside what the log says.
+    /// Instances that were observed leaving, regardless of what the log lists.
     pub fn observed_leaving(&self) -> impl Iterator<Item = &InstanceId> {
         self.observed_leaving.keys()
     }
 
-    /// Since when an instance is known to be leaving or gone; none while it takes new work, and once a
-    /// later instance is listed: what still runs is then at the later one or ends with its connection,
-    /// and there is nothing to be moved from it.
+    /// When an instance became known to be leaving or gone. `None` while it takes new work, and once a later
+    /// instance is listed: requests still running are then at the later instance or end with their
+    /// connection, so there is nothing to move.
     pub fn leaving_since(&self, id: &InstanceId) -> Option<Time> {
         let name = id.upstream();
         let entry = self.entries.get(name);
@@ -357,7 +363,8 @@
             .or_else(|| self.observed_leaving.get(id).copied())
     }
 
-    /// The listed upstreams of a service that were seen leaving less than `within` ago, by id.
+    /// The listed upstreams of a service that became known to be leaving less than `within` ago, ordered
+    /// by id.
     pub fn leaving(&self, now: Time, service: &ServiceId, within: Duration) -> Vec<Arc<Upstream>> {
         let entries = self.entries.values();
         entries
@@ -370,7 +377,7 @@
             .collect()
     }
 
-    /// The upstream, if this instance of it is listed.
+    /// The entry of an upstream, if this instance of it is listed.
     pub fn get(&self, id: &InstanceId) -> Option<&Arc<Upstream>> {
         let entry = self.entries.get(id.upstream());
         let upstream = entry.map(|entry| &entry.upstream);
@@ -382,7 +389,7 @@
         self.entries.len()
     }
 
-    /// Whether none is listed.
+    /// Whether no upstream is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/gateway/directory/entry.rs
+++ b/src/gateway/directory/entry.rs
@@ -1,4 +1,4 @@
-//! What the directory keeps of one upstream, and what a new record of it means.
+//! Directory entries, and the classification of the change that a new record makes.
 
 use std::sync::Arc;
 
@@ -9,34 +9,36 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::position::Position;
 
-/// A listed upstream and what this host knows beside.
+/// A listed upstream with the local state of its entry.
 #[derive(Debug, Clone)]
 pub(super) struct Entry {
     pub(super) upstream: Arc<Upstream>,
-    /// Of the record that lists it; other hosts are told this one also while it is missing.
+    /// Position of the record that lists the upstream. Peers are sent this position even while the
+    /// upstream is missing.
     pub(super) position: Position,
     pub(super) missing: Option<Missing>,
     pub(super) leaving_since: Option<Time>,
 }
 
 impl Entry {
-    /// The last position of the log that says what is known of it.
+    /// The latest log position that this entry reflects: that of its record, or that of its absence.
     pub(super) fn latest_position(&self) -> Position {
         let missing = self.missing.as_ref();
         missing.map_or(self.position, |missing| missing.position)
     }
 }
 
-/// An upstream that the log lacks since its return and that may still list itself again.
+/// The absence of a listed upstream from the log since the log returned. The upstream may still list
+/// itself again.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Missing {
-    /// Where the log lacks it.
+    /// Log position at which the upstream was found to be absent.
     pub(super) position: Position,
-    /// When it counts as gone.
+    /// When the grace period ends and the upstream is removed.
     pub(super) until: Time,
 }
 
-/// What is remembered of an upstream that is not listed.
+/// The removal of an upstream, kept for `REMOVAL_TTL`.
 #[derive(Debug, Clone)]
 pub(super) struct Removal {
     pub(super) position: Position,
@@ -44,7 +46,8 @@
     pub(super) instance: InstanceId,
 }
 
-/// What it means for an upstream that was known as `old` to be listed as `new`.
+/// Classifies the change from entry `old` to `new`. A difference in the remaining cold time alone counts
+/// only if a warm upstream has become cold.
 pub(super) fn classify_change(old: Option<&Entry>, new: &Arc<Upstream>) -> Option<DirectoryChange> {
     let Some(old) = old else {
         return Some(match new.state {
@@ -65,7 +68,7 @@
     }
 }
 
-/// Whether an instance that took work says that it is leaving.
+/// Whether a ready instance now lists itself as leaving.
 pub(super) fn is_leaving_notice(old: Option<&Entry>, new: &Upstream) -> bool {
     let was_ready = old
         .is_some_and(|old| old.upstream.id == new.id && old.upstream.state == UpstreamState::Ready);
--- a/src/gateway/directory/listing.rs
+++ b/src/gateway/directory/listing.rs
@@ -1,5 +1,5 @@
-//! The entries of a directory, with what is derived from them kept as they change: with ten thousand upstreams nothing
-//! that is asked for each datagram or request may walk them all.
+//! The entries of a directory with indexes that are updated on each change. With ten thousand upstreams, a
+//! lookup that runs for each datagram or request must not iterate over all entries.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,12 +18,12 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-/// Spreads eras over the seeds of a digest (2^64 over the golden ratio).
+/// Multiplier that spreads eras over the seeds of a digest: 2^64 divided by the golden ratio.
 const ERA_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 type Location = (ServiceId, DataCentre);
 
-/// Listed upstreams by id.
+/// Entries by upstream id, with a digest and indexes over them.
 #[derive(Debug, Default)]
 pub(super) struct Listing {
     entries: BTreeMap<UpstreamId, Entry>,
@@ -70,7 +70,7 @@
         upstreams.flat_map(BTreeMap::values)
     }
 
-    /// How many these are.
+    /// The number of upstreams of a service in a data centre.
     pub(super) fn count_in_data_centre(
         &self,
         service: &ServiceId,
@@ -80,12 +80,12 @@
         self.by_location.get(&location).map_or(0, BTreeMap::len)
     }
 
-    /// Where the instance of a key stands.
+    /// The data centre of the instance with this key.
     pub(super) fn data_centre_of(&self, key: InstanceKey) -> Option<&DataCentre> {
         self.data_centres.get(&key)
     }
 
-    /// The entries that the log lacks since its return.
+    /// The entries that have been missing from the log since it returned.
     pub(super) fn missing(&self) -> impl Iterator<Item = (&UpstreamId, Missing)> {
         let missing = self.missing.iter();
         missing.filter_map(|id| Some((id, self.entries.get(id)?.missing?)))
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Lists an upstream; its id must not be listed.
+    /// Inserts an entry. The id must not be present yet, as its old entry would stay in the digest and
+    /// the indexes.
     pub(super) fn insert(&mut self, id: UpstreamId, entry: Entry) {
         self.digest ^= entry_digest(&id, &entry);
         if entry.missing.is_some() {
--- a/src/gateway/directory/selection.rs
+++ b/src/gateway/directory/selection.rs
@@ -1,4 +1,4 @@
-//! Which of the listed upstreams take new work, and which of them little.
+//! Selection of the upstreams that take new work, by state, evacuation, rollout and cold time.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,41 +17,43 @@
 use crate::id::ServiceId;
 use crate::id::VersionId;
 
-/// A version that is tried gets its share at few upstreams, so that each of them bears what it will bear later,
+/// Share of the upstreams of each data centre that take the trial requests of a new version. It is small so
+/// that each of them carries the load that it will carry after the rollout.
 const TRIAL_SHARE: f64 = 0.08;
-/// and at so many of each data centre at least: one that is ill says nothing of its version.
+/// Minimum number of upstreams of each data centre that take trial requests. A single faulty upstream says
+/// nothing about its version.
 const TRIAL_UPSTREAMS_MIN: usize = 3;
 
 impl Directory {
-    /// What operators have evacuated.
+    /// The evacuations ordered by operators.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the evacuations.
     pub fn evacuations_mut(&mut self) -> &mut Evacuations {
         &mut self.evacuations
     }
 
-    /// What operators have ordered to be rolled out.
+    /// The rollouts ordered by operators.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the rollouts.
     pub fn rollouts_mut(&mut self) -> &mut Rollouts {
         &mut self.rollouts
     }
 
-    /// Since when new work goes to another version than an upstream's, if it does.
+    /// When a rollout moved new work to a version other than that of `upstream`, if one did.
     pub(super) fn replaced_since(&self, upstream: &Upstream) -> Option<Time> {
         let rollout = self.rollouts.get(&upstream.service)?;
         let is_replaced = upstream.version != *rollout.to();
         rollout.shifted_since().filter(|_| is_replaced)
     }
 
-    /// The upstreams of a service that take new work on `track`, of one data centre or of all. Where operators have
-    /// ordered a version and nothing else is listed, that one takes it.
+    /// The upstreams of a service that take new work on `track`, in one data centre or in all. If no upstream
+    /// is listed for the stable track, those of the ordered version take its requests.
     pub fn ready_for(
         &self,
         service: &ServiceId,
@@ -83,30 +85,31 @@
         }
     }
 
+    /// Whether any listed upstream of a service matches a predicate.
     fn has_listed(&self, service: &ServiceId, matches: impl Fn(&Upstream) -> bool) -> bool {
         let listed = self.entries.values().map(|entry| &entry.upstream);
         let mut of_service = listed.filter(|upstream| upstream.service == *service);
         of_service.any(|upstream| matches(upstream))
     }
 
-    /// Upstreams of a version that take work, as far as they themselves say.
+    /// The number of upstreams of a version that take new work. Failed requests are not considered.
     pub fn count_of_version(&self, service: &ServiceId, version: &VersionId) -> usize {
         let ready = self.ready(service);
         ready.iter().filter(|up| up.version == *version).count()
     }
 
-    /// Whether an instance takes new work.
+    /// Whether an instance is listed and takes new work.
     pub fn is_ready(&self, id: &InstanceId) -> bool {
         self.get(id)
             .is_some_and(|upstream| self.accepts_work(upstream))
     }
 
-    /// Whether a listed upstream takes new work, where operators let it.
+    /// Whether a listed upstream is live and its data centre is not evacuated.
     fn accepts_work(&self, upstream: &Upstream) -> bool {
         self.is_live(upstream) && !self.evacuations.contains(&upstream.data_centre)
     }
 
-    /// Whether a listed upstream is neither leaving nor gone.
+    /// Whether a listed upstream is ready and has not been observed leaving.
     fn is_live(&self, upstream: &Upstream) -> bool {
         upstream.state == UpstreamState::Ready && !self.observed_leaving.contains_key(&upstream.id)
     }
@@ -121,19 +124,19 @@
             .collect()
     }
 
-    /// The same, of one data centre.
+    /// The upstreams of a service in one data centre that take new work.
     pub fn ready_in(&self, service: &ServiceId, data_centre: &DataCentre) -> Vec<Arc<Upstream>> {
         let upstreams = self.entries.in_data_centre(service, data_centre);
         let ready = upstreams.filter(|upstream| self.accepts_work(upstream));
         ready.cloned().collect()
     }
 
-    /// How many upstreams of a service a data centre lists.
+    /// The number of listed upstreams of a service in a data centre.
     pub fn count_in(&self, service: &ServiceId, data_centre: &DataCentre) -> usize {
         self.entries.count_in_data_centre(service, data_centre)
     }
 
-    /// Where the listed instance of a key stands.
+    /// The data centre of the listed instance with this key.
     pub fn data_centre_of(&self, key: InstanceKey) -> Option<&DataCentre> {
         self.entries.data_centre_of(key)
     }
@@ -145,14 +148,14 @@
         ready.cloned().collect()
     }
 
-    /// All upstreams that are neither leaving nor gone, also those that operators give no work.
+    /// All upstreams that are neither leaving nor gone, including those in evacuated data centres.
     pub fn all_live(&self) -> Vec<Arc<Upstream>> {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
         let live = upstreams.filter(|upstream| self.is_live(upstream));
         live.cloned().collect()
     }
 
-    /// Whether a service has upstreams, and only an evacuation keeps all of them from new work.
+    /// Whether a service has live upstreams and all of them are in evacuated data centres.
     pub fn is_evacuated(&self, service: &ServiceId) -> bool {
         let upstreams = self.entries.values().map(|entry| &entry.upstream);
         let mut live = upstreams
@@ -167,7 +170,7 @@
         upstreams.filter(|upstream| upstream.data_centre == *data_centre)
     }
 
-    /// Notes how long an upstream stays cold from now on, as its entry says.
+    /// Records how long an upstream stays cold from now on, according to its entry.
     pub(super) fn record_cold(&mut self, now: Time, upstream: &Upstream) {
         match upstream.cold_left_ms {
             0 => self.cold_until.remove(&upstream.id),
@@ -183,14 +186,16 @@
         self.cold_until.values().any(|until| *until > now)
     }
 
-    /// Whether an upstream is cold: it bears few requests a second. Taken from when this host learnt that it
-    /// is, so it is warm before rather than after the host takes it for warm.
+    /// Whether an upstream is cold, that is, can serve only a few requests per second. The cold time counts
+    /// from when this host learned of it, so the upstream is warm before the host treats it as warm, not
+    /// after.
     pub fn is_cold(&self, now: Time, id: &InstanceId) -> bool {
         self.cold_until.get(id).is_some_and(|until| *until > now)
     }
 }
 
-/// The first few of each data centre, the same for all hosts that list the same.
+/// The first few upstreams of each data centre in the order given, which is the same on all hosts with the
+/// same listing.
 fn trial_subset(upstreams: Vec<Arc<Upstream>>) -> Vec<Arc<Upstream>> {
     let mut by_data_centre: BTreeMap<DataCentre, Vec<Arc<Upstream>>> = BTreeMap::new();
     for upstream in upstreams {
--- a/src/gateway/directory/sync.rs
+++ b/src/gateway/directory/sync.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of their directories.
+//! Exchange of directory changes and full lists between hosts.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use crate::clock::Time;
 use crate::gateway::position::Position;
 
-/// Changes are told again for this long, so that a datagram lost is made good: three rounds of a reader
-/// of 295 hosts.
+/// How long a change is announced repeatedly to make up for lost datagrams: three gossip rounds of a
+/// reader in a fleet of 295 hosts.
 const ANNOUNCE_WINDOW: Duration = Duration::from_millis(1_800);
 
 impl Directory {
-    /// Takes a change that another host tells.
+    /// Applies a change that a peer announced.
     pub fn apply_change(&mut self, now: Time, change: &Change) -> Option<AppliedChange> {
         let upstream = match &change.kind {
             ChangeKind::Listed(upstream) => Some((**upstream).clone()),
@@ -30,7 +30,7 @@
         self.apply(now, change.kind.id().upstream(), upstream, change.position)
     }
 
-    /// The last changes, for other hosts.
+    /// The changes of the last `ANNOUNCE_WINDOW`, to be announced to peers.
     pub fn recent_changes(&self, now: Time) -> Vec<Change> {
         let recent = self.recent_changes.iter();
         recent
@@ -39,7 +39,7 @@
             .collect()
     }
 
-    /// What changed by records from `position` on, as far back as removals are remembered.
+    /// The changes by records at or after `position`. Removals that have expired are not included.
     pub fn changed_from(&self, position: impl Into<Position>) -> Vec<Change> {
         let position = position.into();
         let listed = self.entries.values().map(|entry| Change {
@@ -56,12 +56,12 @@
             .collect()
     }
 
-    /// A hash over what is listed; hosts that list the same have the same.
+    /// A hash over the listed entries. Hosts with equal listings have equal digests.
     pub fn digest(&self) -> u64 {
         self.entries.digest()
     }
 
-    /// The whole list with each entry's position, for a peer.
+    /// The full list with the position of each entry, for a peer.
     pub fn list_all(&self) -> Vec<(Upstream, Position)> {
         let entries = self.entries.values();
         entries
--- a/src/gateway/directory/upstream.rs
+++ b/src/gateway/directory/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams as they list themselves, and their changes as hosts tell them to each other.
+//! Upstreams as they list themselves, and the directory changes that hosts announce to each other.
 
 use std::collections::HashSet;
 use std::hash::Hash;
@@ -17,35 +17,35 @@
 /// Whether an upstream takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// It does.
+    /// Takes new work.
     Ready,
-    /// It is leaving and ends soon.
+    /// Takes no new work and will stop soon.
     Leaving,
 }
 
-/// One upstream as it lists itself.
+/// An upstream as it lists itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// The instance; a restart is another one.
+    /// The instance. A restarted upstream is a new instance.
     pub id: InstanceId,
-    /// What it serves.
+    /// The service that it serves.
     pub service: ServiceId,
-    /// Where it listens. Reused by other instances, also of other services.
+    /// The address that it listens on. Other instances may reuse it later, including those of other services.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
     /// Whether it takes new work.
     pub state: UpstreamState,
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// How long it stays cold from when it listed itself like this, in milliseconds; 0 if it is warm.
+    /// Remaining cold time in milliseconds when this entry was listed; 0 if the upstream is warm.
     pub cold_left_ms: u32,
-    /// The version of its software.
+    /// The software version that it runs.
     pub version: VersionId,
 }
 
 impl Upstream {
-    /// Whether two entries say the same but for how long the upstream stays cold, which passes by itself.
+    /// Compares all fields except the remaining cold time, which decreases without a change of the upstream.
     pub(super) fn eq_ignoring_cold(&self, other: &Upstream) -> bool {
         let cold_left_ms = self.cold_left_ms;
         *self
@@ -56,7 +56,7 @@
     }
 }
 
-/// Has upstreams share the text of names that many of them have.
+/// Makes upstreams with equal service, data centre or version names share one copy of the text.
 pub(crate) fn intern_names(list: &mut [(Upstream, Position)]) {
     let mut services: HashSet<ServiceId> = HashSet::new();
     let mut data_centres: HashSet<DataCentre> = HashSet::new();
@@ -78,27 +78,27 @@
     }
 }
 
-/// What a change of the directory was.
+/// The kind of an applied change, as written to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// A new upstream.
+    /// A new upstream is listed.
     Added,
-    /// A later instance of an upstream that was listed.
+    /// A later instance replaces the listed one.
     Restarted,
-    /// It takes work again or changed otherwise.
+    /// The upstream takes work again, is no longer missing, or other fields of its entry changed.
     Changed,
-    /// It has become cold.
+    /// The upstream has become cold.
     Cold,
-    /// It takes no new work.
+    /// The upstream takes no new work.
     Leaving,
-    /// It was removed.
+    /// The upstream was removed.
     Removed,
-    /// It is missing after an outage of the log and counts as gone when the grace is over.
+    /// The upstream is missing from the log after an outage and is removed when the grace period ends.
     Missing,
 }
 
 impl DirectoryChange {
-    /// The change's name in logs.
+    /// The name of the change in log entries.
     pub const fn name(self) -> &'static str {
         match self {
             DirectoryChange::Added => "added",
@@ -112,40 +112,40 @@
     }
 }
 
-/// A change that was taken into the directory.
+/// A change that has been applied to the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedChange {
-    /// The instance that it is about.
+    /// The instance that changed.
     pub id: InstanceId,
-    /// What became of it.
+    /// The kind of change.
     pub change: DirectoryChange,
-    /// The instance that is no longer listed by this change: the one removed, or the one before.
+    /// The instance that this change ended: the one removed, or the one replaced by a later instance.
     pub ended: Option<InstanceId>,
 }
 
-/// A change as hosts tell it to each other.
+/// A directory change as hosts announce it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The position of its record.
+    /// The position of the record that made the change.
     pub position: Position,
-    /// What became of an upstream.
+    /// The upstream concerned and how it changed.
     #[serde(rename = "news")]
     pub kind: ChangeKind,
 }
 
-/// What became of an upstream.
+/// How an upstream changed, as announced to peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeKind {
-    /// It is listed like this.
+    /// The upstream is listed with this entry.
     Listed(Arc<Upstream>),
-    /// It is listed as before, but leaving.
+    /// The instance is listed as before, except that it is leaving.
     Leaving(InstanceId),
-    /// It was removed.
+    /// The instance was removed.
     Removed(InstanceId),
 }
 
 impl ChangeKind {
-    /// Whose.
+    /// The instance that changed.
     pub fn id(&self) -> &InstanceId {
         match self {
             ChangeKind::Listed(upstream) => &upstream.id,
