--- a/src/gateway/directory/tests.rs
+++ b/src/gateway/directory/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn an_older_record_is_ignored() {
     let mut directory = directory_of(&["a"]);
     let id = UpstreamId::new("a");
     directory.apply(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_removed_upstream_is_not_brought_back_by_an_older_list() {
+fn an_older_list_does_not_restore_a_removed_upstream() {
     let mut directory = directory_of(&["a", "b"]);
     directory.apply(Time::ZERO, &UpstreamId::new("a"), None, 9);
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_removal_while_the_log_is_well_counts_at_once() {
+fn a_removal_takes_effect_at_once_without_an_outage() {
     let mut directory = directory_of(&["a", "b"]);
 
     let change = directory.apply(Time::from_ms(5), &UpstreamId::new("a"), None, 9);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_is_missing_after_an_outage_counts_as_gone_only_after_the_grace() {
+fn an_upstream_missing_after_an_outage_is_removed_after_the_grace() {
     let mut directory = directory_of(&["a", "b"]);
     directory.mark_log_unreachable();
     let back = Time::from_ms(10_000);
@@ -113,13 +113,13 @@
     assert_eq!(change.unwrap().change, DirectoryChange::Missing);
     assert!(early.is_empty());
     assert_eq!(ids_early, ["a", "b"]);
-    let late: Vec<InstanceId> = late.into_iter().map(|applied| applied.id).collect();
-    assert_eq!(late, [instance("a")]);
+    let removed: Vec<InstanceId> = late.into_iter().map(|applied| applied.id).collect();
+    assert_eq!(removed, [instance("a")]);
     assert_eq!(ready_ids(&directory), ["b"]);
 }
 
 #[test]
-fn an_entry_that_is_back_within_the_grace_stays() {
+fn an_upstream_listed_again_within_the_grace_stays() {
     let mut directory = directory_of(&["a"]);
     directory.mark_log_unreachable();
     directory.mark_log_reachable(Time::ZERO);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_whole_list_removes_what_it_lacks() {
+fn a_full_list_removes_absent_upstreams() {
     let mut directory = directory_of(&["a", "b"]);
 
     let changes = directory.replace(
@@ -156,19 +156,19 @@
 }
 
 #[test]
-fn a_witness_goes_before_the_list() {
+fn an_observed_departure_overrides_the_listing() {
     let mut directory = directory_of(&["a"]);
 
-    let news = directory.observe_leaving(Time::from_ms(3), &instance("a"));
-    let again = directory.observe_leaving(Time::from_ms(4), &instance("a"));
+    let is_new = directory.observe_leaving(Time::from_ms(3), &instance("a"));
+    let is_new_again = directory.observe_leaving(Time::from_ms(4), &instance("a"));
 
-    assert!(news && !again);
+    assert!(is_new && !is_new_again);
     assert!(ready_ids(&directory).is_empty());
     assert!(directory.leaving_since(&instance("a")).is_some());
 }
 
 #[test]
-fn the_notice_is_kept_over_further_records() {
+fn later_records_keep_the_time_of_the_leaving_notice() {
     let mut directory = directory_of(&["a"]);
     let id = UpstreamId::new("a");
     let leaving = upstream("a", UpstreamState::Leaving);
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn changes_told_to_a_peer_bring_it_to_the_same_digest() {
+fn announced_changes_bring_a_peer_to_the_same_digest() {
     let mut reader = directory_of(&["a", "b"]);
-    let mut listener = directory_of(&["a", "b"]);
+    let mut peer = directory_of(&["a", "b"]);
     reader.apply(Time::ZERO, &UpstreamId::new("c"), Some(ready("c")), 5);
     reader.apply(
         Time::ZERO,
@@ -196,30 +196,30 @@
     reader.apply(Time::ZERO, &UpstreamId::new("b"), None, 7);
 
     for change in reader.recent_changes(Time::ZERO) {
-        listener.apply_change(Time::ZERO, &change);
+        peer.apply_change(Time::ZERO, &change);
     }
 
-    assert_eq!(listener.digest(), reader.digest());
-    assert_eq!(ready_ids(&listener), ["c"]);
+    assert_eq!(peer.digest(), reader.digest());
+    assert_eq!(ready_ids(&peer), ["c"]);
 }
 
 #[test]
-fn a_foreign_record_is_news_once() {
+fn a_foreign_record_is_new_only_once() {
     let mut directory = Directory::default();
     let id = UpstreamId::new("a");
 
-    let news = [4, 4, 6].map(|offset| directory.record_foreign(&id, offset.into()));
+    let is_new = [4, 4, 6].map(|offset| directory.record_foreign(&id, offset.into()));
 
-    assert_eq!(news, [true, false, true]);
+    assert_eq!(is_new, [true, false, true]);
 }
 
-// A host that had missed one change fetched the whole list of 141 upstreams: 62 MB in the first 14 s of
-// 295 hosts, most of the bytes between data centres.
+// A host that has missed some changes must not need the full list. With 295 hosts, fetching the list of 141
+// upstreams after each missed change cost 62 MB in the first 14 s, most of it between data centres.
 #[test]
 fn what_changed_since_brings_a_host_up_to_date() {
     let mut reader = directory_of(&["a", "b", "c"]);
-    let mut listener = directory_of(&["a", "b", "c"]);
-    let known = listener.position();
+    let mut peer = directory_of(&["a", "b", "c"]);
+    let known = peer.position();
     reader.apply(Time::ZERO, &UpstreamId::new("d"), Some(ready("d")), known);
     let leaving = upstream("a", UpstreamState::Leaving);
     reader.apply(
@@ -232,20 +232,20 @@
 
     let changes = reader.changed_from(known);
     for change in &changes {
-        listener.apply_change(Time::ZERO, change);
+        peer.apply_change(Time::ZERO, change);
     }
 
     assert_eq!(changes.len(), 3);
-    assert_eq!(listener.digest(), reader.digest());
+    assert_eq!(peer.digest(), reader.digest());
 }
 
 #[test]
-fn changes_are_told_for_some_rounds_and_then_no_more() {
+fn changes_are_announced_for_a_limited_time() {
     let mut directory = directory_of(&["a"]);
 
-    let told = [0, 1_700, 1_800].map(|ms| directory.recent_changes(Time::from_ms(ms)).len());
+    let announced = [0, 1_700, 1_800].map(|ms| directory.recent_changes(Time::from_ms(ms)).len());
     directory.apply(Time::from_ms(1_800), &UpstreamId::new("a"), None, 9);
 
-    assert_eq!(told, [1, 1, 0]);
+    assert_eq!(announced, [1, 1, 0]);
     assert_eq!(directory.recent_changes(Time::from_ms(1_900)).len(), 1);
 }
--- a/src/gateway/directory/tests/eras.rs
+++ b/src/gateway/directory/tests/eras.rs
@@ -1,4 +1,4 @@
-//! A log that returned from an older copy.
+//! Tests of a log that was restored from an older copy.
 
 use super::directory_of;
 use super::ready;
@@ -12,16 +12,17 @@
 use crate::gateway::position::Position;
 use crate::id::UpstreamId;
 
-/// A directory that read `ids` in the first era, and the position of an offset in the second.
-fn returned(ids: &[&str]) -> (Directory, impl Fn(u64) -> Position) {
+/// A directory that has read `ids` in the first era, and a function from an offset to its position in the
+/// second era.
+fn directory_after_return(ids: &[&str]) -> (Directory, impl Fn(u64) -> Position) {
     let mut directory = directory_of(ids);
     directory.mark_log_returned(Time::from_ms(1_000));
     (directory, |offset| Position::new(Era::new(2), offset))
 }
 
 #[test]
-fn a_record_of_a_later_era_is_newer_whatever_its_offset() {
-    let (mut directory, second) = returned(&["a", "b", "c", "d"]);
+fn a_record_of_a_later_era_is_newer_at_any_offset() {
+    let (mut directory, second) = directory_after_return(&["a", "b", "c", "d"]);
     let leaving = Some(upstream("d", UpstreamState::Leaving));
 
     directory.apply(
@@ -35,21 +36,21 @@
 }
 
 #[test]
-fn what_the_copy_lacks_has_time_to_list_itself_again_and_is_gone_after_it() {
-    let (mut directory, second) = returned(&["a", "b", "c"]);
+fn an_upstream_absent_from_the_copy_is_removed_after_the_grace() {
+    let (mut directory, second) = directory_after_return(&["a", "b", "c"]);
     let now = Time::from_ms(1_100);
 
     directory.replace(now, vec![(ready("a"), second(0))], second(1));
     directory.apply(now, &UpstreamId::new("b"), Some(ready("b")), second(1));
-    let in_grace = ready_ids(&directory);
+    let during_grace = ready_ids(&directory);
     directory.expire(Time::from_ms(1_000) + RETURN_GRACE);
 
-    assert_eq!(in_grace, ["a", "b", "c"]);
+    assert_eq!(during_grace, ["a", "b", "c"]);
     assert_eq!(ready_ids(&directory), ["a", "b"]);
 }
 
 #[test]
-fn what_left_or_was_removed_takes_no_work_though_the_copy_shows_it_ready() {
+fn a_departed_upstream_takes_no_work_when_the_copy_lists_it_ready() {
     let mut directory = directory_of(&["a", "b", "c"]);
     let now = Time::from_ms(900);
     let leaving = Some(upstream("a", UpstreamState::Leaving));
@@ -70,9 +71,9 @@
 }
 
 #[test]
-fn hosts_that_read_the_same_records_in_two_eras_have_two_digests() {
+fn equal_records_of_different_eras_have_different_digests() {
     let first = directory_of(&["a", "b"]);
-    let (mut second, position) = returned(&["a", "b"]);
+    let (mut second, position) = directory_after_return(&["a", "b"]);
 
     let copy = vec![(ready("a"), position(0)), (ready("b"), position(1))];
     second.replace(Time::from_ms(1_100), copy, position(2));
--- a/src/gateway/directory/tests/listing.rs
+++ b/src/gateway/directory/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What is derived from the entries and kept as they change.
+//! Tests of the digest and indexes that are updated with the entries.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -12,9 +12,10 @@
 use crate::id::ServiceId;
 use crate::id::UpstreamId;
 
-// The digest was worked out anew over all upstreams for each datagram that told of a change.
+// The digest and indexes are updated with each entry. The digest was once computed over all upstreams for each
+// datagram with a change, which cost time in proportion to the fleet.
 #[test]
-fn what_is_kept_as_entries_change_is_what_a_list_read_anew_has() {
+fn updated_indexes_equal_those_of_a_rebuilt_directory() {
     let mut random = ChaCha8Rng::seed_from_u64(5);
     let mut directory = Directory::default();
     for offset in 0..2_000_u64 {
@@ -28,29 +29,30 @@
         let listed = random.random_bool(0.8).then_some(listed);
         directory.apply(Time::ZERO, &UpstreamId::new(name), listed, offset);
     }
-    let mut anew = Directory::default();
-    anew.replace(Time::ZERO, directory.list_all(), 2_000);
+    let mut rebuilt = Directory::default();
+    rebuilt.replace(Time::ZERO, directory.list_all(), 2_000);
 
-    assert_eq!(directory.digest(), anew.digest());
+    assert_eq!(directory.digest(), rebuilt.digest());
     let service = ServiceId::new("inspection");
-    for place in ["dc-0", "dc-1", "dc-2"].map(DataCentre::new) {
+    for data_centre in ["dc-0", "dc-1", "dc-2"].map(DataCentre::new) {
         let ready = directory.ready(&service);
-        let there: Vec<_> = ready
+        let expected: Vec<_> = ready
             .into_iter()
-            .filter(|up| up.data_centre == place)
+            .filter(|up| up.data_centre == data_centre)
             .collect();
-        assert_eq!(directory.ready_in(&service, &place), there);
+        assert_eq!(directory.ready_in(&service, &data_centre), expected);
         assert!(
-            there
+            expected
                 .iter()
-                .all(|up| directory.data_centre_of(up.id.key()) == Some(&place))
+                .all(|up| directory.data_centre_of(up.id.key()) == Some(&data_centre))
         );
     }
 }
 
-// A host that had heard of a later record alone took its list for wrong at each fetch, and fetched all of it.
+// A host that has received a later record out of order must not treat its list as wrong: it then fetched the
+// full list each time.
 #[test]
-fn a_later_record_heard_alone_is_told_apart_from_a_wrong_list() {
+fn a_later_record_received_alone_is_not_taken_for_a_wrong_list() {
     let mut directory = Directory::default();
     let first = upstream("up-1", UpstreamState::Ready);
     directory.apply(Time::ZERO, &UpstreamId::new("up-1"), Some(first), 3);
--- a/src/gateway/directory/tests/missing.rs
+++ b/src/gateway/directory/tests/missing.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are missing since the log's return, at hosts that tell each other what they list.
+//! Tests of upstreams missing since the log's return, on hosts that exchange their changes.
 
 use super::directory_of;
 use super::ready;
@@ -8,65 +8,73 @@
 use crate::gateway::directory::RETURN_GRACE;
 use crate::id::UpstreamId;
 
-const BACK: Time = Time::from_ms(10_000);
-/// Where the log ends when it is back.
-const END: u64 = 20;
+/// When the log becomes reachable again.
+const LOG_REACHABLE_AT: Time = Time::from_ms(10_000);
+/// End offset of the log when it is reachable again.
+const LOG_END: u64 = 20;
 
-/// A host that read of the removal of `a`, and one that could not read the log then and reads its newest records now.
-fn reader_and_returned() -> (Directory, Directory) {
+/// A host that has read the removal of `a`, and one that could not read the log at that time and has now
+/// read its newest records.
+fn reader_and_reconnected() -> (Directory, Directory) {
     let mut reader = directory_of(&["a", "b"]);
-    reader.apply(BACK, &UpstreamId::new("a"), None, 9);
-    let mut returned = directory_of(&["a", "b"]);
-    returned.mark_log_unreachable();
-    returned.mark_log_reachable(BACK);
-    returned.replace(BACK, vec![(ready("b"), 1.into())], END);
-    (reader, returned)
+    reader.apply(LOG_REACHABLE_AT, &UpstreamId::new("a"), None, 9);
+    let mut reconnected = directory_of(&["a", "b"]);
+    reconnected.mark_log_unreachable();
+    reconnected.mark_log_reachable(LOG_REACHABLE_AT);
+    reconnected.replace(LOG_REACHABLE_AT, vec![(ready("b"), 1.into())], LOG_END);
+    (reader, reconnected)
 }
 
-fn tell(now: Time, from: &Directory, to: &mut Directory) {
+fn send_changes(now: Time, from: &Directory, to: &mut Directory) {
     for change in from.changed_from(0) {
         to.apply_change(now, &change);
     }
 }
 
-// A host that gave a missing upstream its grace told it as listed where the log lacked it, which is later than its removal.
+// A host must announce a missing upstream at the position of its record. Announced at the position of its
+// absence, which is later than the removal, the upstream was listed again at other hosts.
 #[test]
-fn what_is_missing_at_one_host_is_not_listed_again_at_others() {
-    let (mut reader, returned) = reader_and_returned();
+fn an_upstream_missing_at_one_host_is_not_listed_again_at_others() {
+    let (mut reader, reconnected) = reader_and_reconnected();
 
-    tell(BACK, &returned, &mut reader);
+    send_changes(LOG_REACHABLE_AT, &reconnected, &mut reader);
     let by_changes = ready_ids(&reader);
-    reader.replace(BACK, returned.list_all(), END);
+    reader.replace(LOG_REACHABLE_AT, reconnected.list_all(), LOG_END);
 
     assert_eq!(by_changes, ["b"]);
     assert_eq!(ready_ids(&reader), ["b"]);
 }
 
 #[test]
-fn what_is_missing_is_gone_after_the_grace_whatever_others_tell() {
-    let (mut reader, mut returned) = reader_and_returned();
-    tell(BACK, &returned, &mut reader);
+fn a_missing_upstream_is_removed_after_the_grace_despite_peers() {
+    let (mut reader, mut reconnected) = reader_and_reconnected();
+    send_changes(LOG_REACHABLE_AT, &reconnected, &mut reader);
     let mut other = directory_of(&["a", "b"]);
-    tell(BACK, &returned, &mut other);
-    let later = BACK + RETURN_GRACE;
+    send_changes(LOG_REACHABLE_AT, &reconnected, &mut other);
+    let later = LOG_REACHABLE_AT + RETURN_GRACE;
 
-    tell(BACK, &reader, &mut returned);
-    tell(BACK, &other, &mut returned);
-    returned.expire(later);
-    tell(later, &returned, &mut other);
+    send_changes(LOG_REACHABLE_AT, &reader, &mut reconnected);
+    send_changes(LOG_REACHABLE_AT, &other, &mut reconnected);
+    reconnected.expire(later);
+    send_changes(later, &reconnected, &mut other);
 
-    assert_eq!(ready_ids(&returned), ["b"]);
+    assert_eq!(ready_ids(&reconnected), ["b"]);
     assert_eq!(ready_ids(&other), ["b"]);
 }
 
 #[test]
-fn what_lists_itself_again_within_the_grace_is_listed_at_all() {
-    let (mut reader, mut returned) = reader_and_returned();
-    returned.apply(BACK, &UpstreamId::new("a"), Some(ready("a")), END);
+fn an_upstream_listed_again_within_the_grace_is_listed_everywhere() {
+    let (mut reader, mut reconnected) = reader_and_reconnected();
+    reconnected.apply(
+        LOG_REACHABLE_AT,
+        &UpstreamId::new("a"),
+        Some(ready("a")),
+        LOG_END,
+    );
 
-    tell(BACK, &returned, &mut reader);
-    returned.expire(BACK + RETURN_GRACE);
+    send_changes(LOG_REACHABLE_AT, &reconnected, &mut reader);
+    reconnected.expire(LOG_REACHABLE_AT + RETURN_GRACE);
 
-    assert_eq!(ready_ids(&returned), ["a", "b"]);
+    assert_eq!(ready_ids(&reconnected), ["a", "b"]);
     assert_eq!(ready_ids(&reader), ["a", "b"]);
 }
