--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,12 +1,12 @@
-//! The upstreams that the platform lists, folded from a keyed log.
+//! The directory of upstreams that the platform lists, built from a keyed log.
 //!
-//! While the log is away, entries may lapse although their upstreams live. A removal that is read
-//! soon after the log came back therefore takes effect only [`RETURN_GRACE`] after the return:
-//! a living upstream has listed itself again by then.
+//! While the log is unreachable, entries may expire although their upstreams are alive. A removal that is
+//! read soon after the log is reachable again therefore takes effect only [`RETURN_GRACE`] after that:
+//! an upstream that is alive has listed itself again by then.
 //!
-//! The directory is where instances of one upstream are told apart. Entries of one id are ordered by
-//! the log, but an entry of an earlier instance may be written late; it never replaces that of a
-//! later one. An entry that tells no start is about the instance that is known.
+//! The directory distinguishes the instances of an upstream. The log orders the entries of one id, but the
+//! entry of an earlier instance may be written late; it never replaces that of a later instance. An entry
+//! without a start time refers to the known instance.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,8 +17,8 @@
 use self::entry::Entry;
 use self::entry::Missing;
 use self::entry::Removal;
-use self::entry::change_of;
-use self::entry::is_notice;
+use self::entry::classify_change;
+use self::entry::is_leaving_notice;
 use self::listing::Listing;
 use crate::clock::Time;
 use crate::gateway::evacuations::Evacuations;
@@ -30,96 +30,100 @@
 
 mod entry;
 mod listing;
-mod taking;
-mod telling;
+mod selection;
+mod sync;
 mod upstream;
 
-pub use self::upstream::Applied;
+pub use self::upstream::AppliedChange;
 pub use self::upstream::Change;
+pub use self::upstream::ChangeKind;
 pub use self::upstream::DirectoryChange;
-pub use self::upstream::News;
 pub use self::upstream::Upstream;
 pub use self::upstream::UpstreamState;
-pub(crate) use self::upstream::share_names;
+pub(crate) use self::upstream::intern_names;
 
-/// After the log's return, living upstreams list themselves again within this time (the platform
-/// says about two seconds).
+/// Live upstreams list themselves again within this time of the log's return. The platform documents about
+/// two seconds.
 pub const RETURN_GRACE: Duration = Duration::from_millis(2_000);
 
-/// Removals are remembered for this long, so that a peer's older list brings none back.
-const REMOVAL_REMEMBERED: Duration = Duration::from_secs(120);
+/// How long removals are kept, so that a peer's older list does not restore a removed upstream.
+const REMOVAL_TTL: Duration = Duration::from_secs(120);
 
-/// A copy of the log from which it returns is no older than this: "some seconds" by the platform's word. What
-/// was removed longer ago than that, and is listed again, has listed itself.
+/// Maximum age of the copy from which the log is restored; the platform documents "some seconds". An
+/// upstream that was removed longer ago and is listed again has listed itself.
 const COPY_AGE_MAX: Duration = Duration::from_secs(30);
 
-/// Changes that are told again, at most: a third of the upstreams of a large deployment at once.
+/// Maximum number of recent changes that are announced repeatedly: a third of the upstreams of a large
+/// deployment.
 const RECENT_CHANGES_MAX: usize = 64;
 
-/// The upstreams as one host knows them.
+/// The upstreams that one host knows, with the evacuations and rollouts that apply to them.
 #[derive(Debug, Default)]
 pub struct Directory {
     position: Position,
-    /// The latest record that was taken, be it that some before it are not known.
+    /// Position of the latest record that was applied; earlier records may still be missing.
     newest_record: Position,
     entries: Listing,
     removed: BTreeMap<UpstreamId, Removal>,
-    /// Instances that answered at their address with another id, or refused as leaving.
-    witnessed: BTreeMap<InstanceId, Time>,
-    /// Keys whose newest record names no upstream, with the record's position.
+    /// Instances whose address answered with another id, or that refused a request because they are
+    /// leaving, with the time of the observation.
+    observed_leaving: BTreeMap<InstanceId, Time>,
+    /// Keys whose newest record does not describe an upstream, with the position of that record.
     foreign: BTreeMap<UpstreamId, Position>,
     evacuations: Evacuations,
     rollouts: Rollouts,
-    /// Until when upstreams that listed themselves as cold are so.
+    /// When the upstreams that listed themselves as cold become warm.
     cold_until: BTreeMap<InstanceId, Time>,
-    away: bool,
-    returned_at: Option<Time>,
-    recent: VecDeque<(Time, Change)>,
+    log_unreachable: bool,
+    log_returned_at: Option<Time>,
+    recent_changes: VecDeque<(Time, Change)>,
 }
 
 impl Directory {
-    /// The log's position up to which this directory was read.
+    /// The log position up to which this directory has been read.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Whether any record at `position` or after it is known.
-    pub fn knows_from(&self, position: Position) -> bool {
+    /// Whether any record at or after `position` has been applied.
+    pub fn has_record_from(&self, position: Position) -> bool {
         self.newest_record >= position
     }
 
-    /// The log up to `position` was read, here or by a peer.
+    /// Moves the read position forward to `position`, which this host or a peer has read up to.
     pub fn advance(&mut self, position: impl Into<Position>) {
         self.position = self.position.max(position.into());
     }
 
-    /// The log returned from an older copy: entries written since are gone until they are written again.
-    pub fn log_returned(&mut self, now: Time) {
-        self.returned_at = Some(now);
+    /// Records that the log was restored from an older copy. Entries written after that copy are missing
+    /// until they are written again.
+    pub fn mark_log_returned(&mut self, now: Time) {
+        self.log_returned_at = Some(now);
     }
 
-    /// The log cannot be read.
-    pub fn log_lost(&mut self) {
-        self.away = true;
+    /// Records that the log cannot be read.
+    pub fn mark_log_unreachable(&mut self) {
+        self.log_unreachable = true;
     }
 
-    /// The log can be read again.
-    pub fn log_back(&mut self, now: Time) {
-        if std::mem::take(&mut self.away) {
-            self.returned_at = Some(now);
+    /// Records that the log can be read again.
+    pub fn mark_log_reachable(&mut self, now: Time) {
+        if std::mem::take(&mut self.log_unreachable) {
+            self.log_returned_at = Some(now);
         }
     }
 
-    /// Takes one record; `upstream` is none where the key was removed, or its record names none.
+    /// Applies one record. `upstream` is `None` if the key was removed or its record does not describe an
+    /// upstream.
     pub fn apply(
         &mut self,
         now: Time,
         id: &UpstreamId,
         upstream: Option<Upstream>,
         position: impl Into<Position>,
-    ) -> Option<Applied> {
+    ) -> Option<AppliedChange> {
         let position = position.into();
-        let known = self.entries.get(id).map(Entry::known_to);
+        let known = self.entries.get(id).map(Entry::latest_position);
         let removed = self.removed.get(id).map(|removal| removal.position);
         if known.max(removed).is_some_and(|newest| newest > position) {
             return None;
@@ -127,18 +131,18 @@
         self.newest_record = self.newest_record.max(position);
         if upstream
             .as_ref()
-            .is_some_and(|it| self.is_listed_so(it, position))
+            .is_some_and(|it| self.is_already_listed(it, position))
         {
             return None;
         }
         match upstream {
-            Some(upstream) => self.list(now, upstream, position),
-            None => self.remove(now, id, position),
+            Some(upstream) => self.apply_listing(now, upstream, position),
+            None => self.apply_removal(now, id, position),
         }
     }
 
-    /// Whether an upstream is listed by this record already. Hosts tell each other the same many times.
-    fn is_listed_so(&self, upstream: &Upstream, position: Position) -> bool {
+    /// Whether this record has already been applied. Hosts announce the same change to each other repeatedly.
+    fn is_already_listed(&self, upstream: &Upstream, position: Position) -> bool {
         let entry = self.entries.get(upstream.id.upstream());
         entry.is_some_and(|entry| {
             entry.position == position
@@ -148,14 +152,19 @@
         })
     }
 
-    /// The latest start that is known of an upstream.
+    /// The latest known start time of an upstream.
     fn latest_born_ms(&self, id: &UpstreamId) -> Option<u64> {
         let listed = self.entries.get(id).map(|entry| &entry.upstream.id);
         let removed = self.removed.get(id).map(|removal| &removal.instance);
         listed.or(removed).and_then(InstanceId::born_ms)
     }
 
-    fn list(&mut self, now: Time, mut upstream: Upstream, position: Position) -> Option<Applied> {
+    fn apply_listing(
+        &mut self,
+        now: Time,
+        mut upstream: Upstream,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let name = upstream.id.upstream().clone();
         let latest = self.latest_born_ms(&name);
         let born_ms = upstream.id.born_ms().or(latest);
@@ -163,8 +172,8 @@
             return None;
         }
         upstream.id = InstanceId::new(name.clone(), born_ms);
-        if self.is_shown_again(now, &upstream, position) {
-            self.witness(now, &upstream.id);
+        if self.is_stale_ready(now, &upstream, position) {
+            self.observe_leaving(now, &upstream.id);
         }
         self.removed.remove(&name);
         self.foreign.remove(&name);
@@ -174,16 +183,16 @@
             .filter(|old| old.upstream.id == upstream.id)
             .and_then(|old| old.leaving_since);
         if old.as_ref().is_none_or(|old| old.position < position) {
-            self.note_cold(now, &upstream);
+            self.record_cold(now, &upstream);
         }
         let upstream = Arc::new(upstream);
         let is_leaving = upstream.state == UpstreamState::Leaving;
-        let change = change_of(old.as_ref(), &upstream);
-        let news = match is_notice(old.as_ref(), &upstream) {
-            true => News::Leaving(upstream.id.clone()),
-            false => News::Listed(upstream.clone()),
+        let change = classify_change(old.as_ref(), &upstream);
+        let kind = match is_leaving_notice(old.as_ref(), &upstream) {
+            true => ChangeKind::Leaving(upstream.id.clone()),
+            false => ChangeKind::Listed(upstream.clone()),
         };
-        self.remember(now, position, news);
+        self.record_change(now, position, kind);
         let entry = Entry {
             upstream: upstream.clone(),
             position,
@@ -192,16 +201,16 @@
         };
         self.entries.insert(name, entry);
         let ended = old.map(|old| old.upstream.id.clone());
-        change.map(|change| Applied {
+        change.map(|change| AppliedChange {
             ended: ended.filter(|ended| *ended != upstream.id),
             id: upstream.id.clone(),
             change,
         })
     }
 
-    /// Whether a record shows an instance ready of which an earlier history of the log said that it leaves or
-    /// is gone: the copy from which the log returned is older than that.
-    fn is_shown_again(&self, now: Time, upstream: &Upstream, position: Position) -> bool {
+    /// Whether a record lists an instance as ready that an earlier era of the log listed as leaving or
+    /// removed. The log was then restored from a copy that predates the departure.
+    fn is_stale_ready(&self, now: Time, upstream: &Upstream, position: Position) -> bool {
         let name = upstream.id.upstream();
         let left = self.entries.get(name).is_some_and(|entry| {
             entry.upstream.id == upstream.id
@@ -216,24 +225,34 @@
         upstream.state == UpstreamState::Ready && (left || was_removed)
     }
 
-    fn remove(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<Applied> {
+    fn apply_removal(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let entry = self.entries.get(id)?;
-        let grace_ends = self.returned_at.map(|returned| returned + RETURN_GRACE);
+        let grace_ends = self.log_returned_at.map(|returned| returned + RETURN_GRACE);
         let ready = entry.upstream.state == UpstreamState::Ready;
         if let Some(ends) = grace_ends.filter(|ends| *ends > now && ready) {
-            let applied = Applied {
+            let applied = AppliedChange {
                 id: entry.upstream.id.clone(),
                 change: DirectoryChange::Missing,
                 ended: None,
             };
             let until = ends;
-            self.entries.set_missing(id, Missing { position, until });
+            self.entries.mark_missing(id, Missing { position, until });
             return Some(applied);
         }
-        self.drop_entry(now, id, position)
+        self.remove_entry(now, id, position)
     }
 
-    fn drop_entry(&mut self, now: Time, id: &UpstreamId, position: Position) -> Option<Applied> {
+    fn remove_entry(
+        &mut self,
+        now: Time,
+        id: &UpstreamId,
+        position: Position,
+    ) -> Option<AppliedChange> {
         let instance = self.entries.remove(id)?.upstream.id.clone();
         let removal = Removal {
             position,
@@ -241,42 +260,44 @@
             instance: instance.clone(),
         };
         self.removed.insert(id.clone(), removal);
-        self.remember(now, position, News::Removed(instance.clone()));
-        Some(Applied {
+        self.record_change(now, position, ChangeKind::Removed(instance.clone()));
+        Some(AppliedChange {
             id: instance.clone(),
             change: DirectoryChange::Removed,
             ended: Some(instance),
         })
     }
 
-    /// The newest record of a key names no upstream. True if this is news.
-    pub fn note_foreign(&mut self, id: &UpstreamId, position: Position) -> bool {
+    /// Records that the newest record of a key does not describe an upstream. Returns whether this record
+    /// was not known before.
+    pub fn record_foreign(&mut self, id: &UpstreamId, position: Position) -> bool {
         self.foreign.insert(id.clone(), position) != Some(position)
     }
 
-    fn remember(&mut self, now: Time, position: Position, news: News) {
-        let name = news.id().upstream();
-        self.recent
-            .retain(|(_, change)| change.news.id().upstream() != name);
-        if self.recent.len() == RECENT_CHANGES_MAX {
-            self.recent.pop_front();
+    fn record_change(&mut self, now: Time, position: Position, kind: ChangeKind) {
+        let name = kind.id().upstream();
+        self.recent_changes
+            .retain(|(_, change)| change.kind.id().upstream() != name);
+        if self.recent_changes.len() == RECENT_CHANGES_MAX {
+            self.recent_changes.pop_front();
         }
-        self.recent.push_back((now, Change { position, news }));
+        self.recent_changes
+            .push_back((now, Change { position, kind }));
     }
 
-    /// Takes a whole list as of `position`: what it lacks was removed.
+    /// Applies a full list as of `position`. Known upstreams that the list lacks are removed.
     pub fn replace(
         &mut self,
         now: Time,
         listed: Vec<(Upstream, Position)>,
         position: impl Into<Position>,
-    ) -> Vec<Applied> {
+    ) -> Vec<AppliedChange> {
         let position = position.into();
         let present: BTreeSet<UpstreamId> = listed
             .iter()
             .map(|(upstream, _)| upstream.id.upstream().clone())
             .collect();
-        let lacking: Vec<UpstreamId> = self
+        let absent: Vec<UpstreamId> = self
             .entries
             .iter()
             .filter(|(id, entry)| !present.contains(*id) && entry.position < position)
@@ -288,44 +309,45 @@
             let id = upstream.id.upstream().clone();
             changes.extend(self.apply(now, &id, Some(upstream), at));
         }
-        for id in lacking {
-            changes.extend(self.remove(now, &id, position.before()));
+        for id in absent {
+            changes.extend(self.apply_removal(now, &id, position.before()));
         }
         self.advance(position);
         changes
     }
 
-    /// Drops what is missing and whose grace is over, and old memories.
-    pub fn lapse(&mut self, now: Time) -> Vec<Applied> {
+    /// Removes missing upstreams whose grace period is over, and discards expired removals and observations.
+    pub fn expire(&mut self, now: Time) -> Vec<AppliedChange> {
         let gone: Vec<(UpstreamId, Position)> = self
             .entries
             .missing()
             .filter(|(_, missing)| missing.until <= now)
             .map(|(id, missing)| (id.clone(), missing.position))
             .collect();
-        let recent = |at: Time| now.since(at) < REMOVAL_REMEMBERED;
+        let recent = |at: Time| now.since(at) < REMOVAL_TTL;
         self.removed.retain(|_, removal| recent(removal.at));
-        self.witnessed.retain(|_, at| recent(*at));
+        self.observed_leaving.retain(|_, at| recent(*at));
         self.cold_until.retain(|_, until| *until > now);
         let dropped = gone.iter();
         dropped
-            .filter_map(|(id, position)| self.drop_entry(now, id, *position))
+            .filter_map(|(id, position)| self.remove_entry(now, id, *position))
             .collect()
     }
 
-    /// An answer or a peer showed that the instance is leaving or gone. True if that is news.
-    pub fn witness(&mut self, now: Time, id: &InstanceId) -> bool {
-        self.witnessed.insert(id.clone(), now).is_none()
+    /// Records that an answer or a peer showed the instance to be leaving or gone. Returns whether this was
+    /// not known before.
+    pub fn observe_leaving(&mut self, now: Time, id: &InstanceId) -> bool {
+        self.observed_leaving.insert(id.clone(), now).is_none()
     }
 
-    /// Instances that were seen leaving, beside what the log says.
-    pub fn witnessed(&self) -> impl Iterator<Item = &InstanceId> {
-        self.witnessed.keys()
+    /// Instances that were observed leaving, regardless of what the log lists.
+    pub fn observed_leaving(&self) -> impl Iterator<Item = &InstanceId> {
+        self.observed_leaving.keys()
     }
 
-    /// Since when an instance is known to be leaving or gone; none while it takes new work, and once a
-    /// later instance is listed: what still runs is then at the later one or ends with its connection,
-    /// and there is nothing to be moved from it.
+    /// When an instance became known to be leaving or gone. `None` while it takes new work, and once a later
+    /// instance is listed: requests still running are then at the later instance or end with their
+    /// connection, so there is nothing to move.
     pub fn leaving_since(&self, id: &InstanceId) -> Option<Time> {
         let name = id.upstream();
         let entry = self.entries.get(name);
@@ -338,10 +360,11 @@
         let removed = removed.filter(|removal| removal.instance == *id);
         listed
             .or(removed.map(|removal| removal.at))
-            .or_else(|| self.witnessed.get(id).copied())
+            .or_else(|| self.observed_leaving.get(id).copied())
     }
 
-    /// The listed upstreams of a service that were seen leaving less than `within` ago, by id.
+    /// The listed upstreams of a service that became known to be leaving less than `within` ago, ordered
+    /// by id.
     pub fn leaving(&self, now: Time, service: &ServiceId, within: Duration) -> Vec<Arc<Upstream>> {
         let entries = self.entries.values();
         entries
@@ -354,7 +377,7 @@
             .collect()
     }
 
-    /// The upstream, if this instance of it is listed.
+    /// The entry of an upstream, if this instance of it is listed.
     pub fn get(&self, id: &InstanceId) -> Option<&Arc<Upstream>> {
         let entry = self.entries.get(id.upstream());
         let upstream = entry.map(|entry| &entry.upstream);
@@ -366,7 +389,7 @@
         self.entries.len()
     }
 
-    /// Whether none is listed.
+    /// Whether no upstream is listed.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
