--- a/benches/slopes/fleet.rs
+++ b/benches/slopes/fleet.rs
@@ -6,8 +6,8 @@
 use crate::fit::bytes_held;
 use crate::fit::nanos_each;
 use cedargauge::clock::Time;
+use cedargauge::gateway::datagram::AnnouncedLoads;
 use cedargauge::gateway::datagram::Datagram;
-use cedargauge::gateway::datagram::ToldLoads;
 use cedargauge::gateway::datagram::Topics;
 use cedargauge::gateway::directory::Directory;
 use cedargauge::gateway::directory::Upstream;
@@ -100,8 +100,8 @@
             operator: index < DATA_CENTRES,
             upstreams: index == 0,
         },
-        loads: ToldLoads::OfHost(Vec::new()),
-        ..Datagram::of(HostId::new(format!("host-{index:04}")), place(index))
+        loads: AnnouncedLoads::OfHost(Vec::new()),
+        ..Datagram::new(HostId::new(format!("host-{index:04}")), place(index))
     }
 }
 
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -18,9 +18,9 @@
 use crate::gateway::connection::Patience;
 use crate::gateway::directory::Upstream;
 use crate::gateway::exchange;
-use crate::gateway::exchange::Begun;
-use crate::gateway::exchange::Unanswered;
-use crate::gateway::exchange::Whole;
+use crate::gateway::exchange::OpenResponse;
+use crate::gateway::exchange::ReadOutcome;
+use crate::gateway::exchange::SendError;
 use crate::gateway::forward;
 use crate::gateway::forward::AttemptHeaders;
 use crate::gateway::placement::Need;
@@ -207,21 +207,21 @@
     };
     let begun = match exchange::send(shared, admitted, connection, &headers).await {
         Ok(begun) => begun,
-        Err(Unanswered::NotRun(reason)) => return Attempted::NotRun(reason),
-        Err(Unanswered::Unknown(reason)) => return Attempted::Unknown(reason),
+        Err(SendError::NotRun(reason)) => return Attempted::NotRun(reason),
+        Err(SendError::Unknown(reason)) => return Attempted::Unknown(reason),
     };
-    let Begun {
+    let OpenResponse {
         connection,
         head,
         body,
     } = begun;
-    match exchange::read_whole(shared, admitted, upstream, head, body).await {
-        Whole::Answered(answer) => {
+    match exchange::read_response(shared, admitted, upstream, head, body).await {
+        ReadOutcome::Answered(answer) => {
             front.pool.borrow_mut().put(&upstream.id, connection);
             Attempted::Answered(answer)
         }
-        Whole::NotRun(reason) => Attempted::NotRun(reason),
-        Whole::Broken(reason) => Attempted::Unknown(reason),
+        ReadOutcome::NotRun(reason) => Attempted::NotRun(reason),
+        ReadOutcome::Truncated(reason) => Attempted::Unknown(reason),
     }
 }
 
--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -28,7 +28,7 @@
 /// Largest datagram that crosses a network whole.
 pub(crate) const DATAGRAM_BYTES_MAX: usize = 1_400;
 /// Changes of upstreams in one datagram, at most 90 bytes each, so that the rest has room beside them.
-pub(crate) const PART_CHANGES: usize = 10;
+pub(crate) const PART_CHANGES_MAX: usize = 10;
 /// First byte of a datagram; rises with each change of its fields, so that hosts of two releases
 /// side by side don't misread each other.
 const FORMAT: u8 = 11;
@@ -57,7 +57,7 @@
 
 /// What a datagram tells of what runs where.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ToldLoads {
+pub enum AnnouncedLoads {
     /// Nothing: it tells only of turns or of the log.
     Nothing,
     /// What its host runs.
@@ -70,7 +70,7 @@
 
 /// What a datagram tells of versions that are tried.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ToldTrials {
+pub enum AnnouncedTrials {
     /// Nothing.
     Nothing,
     /// What its host saw.
@@ -79,13 +79,13 @@
     OfDataCentre(Vec<AnnouncedEvidence>),
 }
 
-impl ToldLoads {
+impl AnnouncedLoads {
     fn listed(&mut self) -> Option<&mut Vec<(InstanceKey, Load)>> {
         match self {
-            ToldLoads::Nothing => None,
-            ToldLoads::OfHost(loads)
-            | ToldLoads::OfVisitor(loads)
-            | ToldLoads::OfDataCentre(loads) => Some(loads),
+            AnnouncedLoads::Nothing => None,
+            AnnouncedLoads::OfHost(loads)
+            | AnnouncedLoads::OfVisitor(loads)
+            | AnnouncedLoads::OfDataCentre(loads) => Some(loads),
         }
     }
 }
@@ -104,7 +104,7 @@
     /// The newest order to roll a version out of each service.
     pub rollouts: Vec<AnnouncedRollout>,
     /// What was seen of the versions that are tried.
-    pub evidence: ToldTrials,
+    pub evidence: AnnouncedTrials,
     /// The log's position up to which it has read the upstreams.
     pub upstreams: Position,
     /// Where it serves what others lack.
@@ -122,7 +122,7 @@
     /// Whether further changes follow at once in another datagram.
     pub has_more_changes: bool,
     /// What runs where.
-    pub loads: ToldLoads,
+    pub loads: AnnouncedLoads,
     /// Runs that it has still to move off engines that are leaving.
     pub moving: Vec<PendingMoves>,
     /// Upstreams that it saw leaving.
@@ -152,14 +152,14 @@
 
 impl Datagram {
     /// Tells only whose it is.
-    pub fn of(host: HostId, data_centre: DataCentre) -> Self {
+    pub fn new(host: HostId, data_centre: DataCentre) -> Self {
         Datagram {
             host,
             config: 0,
             log_era: Era::default(),
             evacuations: AnnouncedEvacuations::default(),
             rollouts: Vec::new(),
-            evidence: ToldTrials::Nothing,
+            evidence: AnnouncedTrials::Nothing,
             upstreams: Position::default(),
             peer_port: 0,
             data_centre,
@@ -168,7 +168,7 @@
             upstreams_digest: 0,
             changes: Vec::new(),
             has_more_changes: false,
-            loads: ToldLoads::Nothing,
+            loads: AnnouncedLoads::Nothing,
             moving: Vec::new(),
             leaving: Vec::new(),
             unreachable: Vec::new(),
@@ -188,15 +188,15 @@
     /// may leave in one moment, and a host that misses one change fetches the whole list.
     pub(crate) fn into_parts(mut self) -> Vec<Datagram> {
         let mut parts = Vec::new();
-        while self.changes.len() > PART_CHANGES {
-            let rest = self.changes.split_off(PART_CHANGES);
+        while self.changes.len() > PART_CHANGES_MAX {
+            let rest = self.changes.split_off(PART_CHANGES_MAX);
             let changes = std::mem::replace(&mut self.changes, rest);
             parts.push(Datagram {
                 changes,
                 has_more_changes: true,
                 moving: self.moving.clone(),
                 suspects: Vec::new(),
-                ..self.of_the_log_only()
+                ..self.log_only()
             });
         }
         parts.push(self);
@@ -204,7 +204,7 @@
     }
 
     /// Is for hosts that this one has never heard.
-    pub(crate) fn that_introduces(&self) -> Datagram {
+    pub(crate) fn with_host_request(&self) -> Datagram {
         Datagram {
             lacks_hosts: true,
             ..self.clone()
@@ -212,72 +212,72 @@
     }
 
     /// Tells of the log alone.
-    pub(crate) fn of_the_log_only(&self) -> Datagram {
+    pub(crate) fn log_only(&self) -> Datagram {
         Datagram {
-            evidence: ToldTrials::Nothing,
-            loads: ToldLoads::Nothing,
+            evidence: AnnouncedTrials::Nothing,
+            loads: AnnouncedLoads::Nothing,
             hosts: Vec::new(),
             ..self.clone()
         }
     }
 
     /// Tells of what runs at the upstreams of its data centre.
-    pub(crate) fn of_data_centre(
+    pub(crate) fn with_summary(
         &self,
         loads: Vec<(InstanceKey, Load)>,
         evidence: Vec<AnnouncedEvidence>,
     ) -> Datagram {
         Datagram {
-            evidence: ToldTrials::OfDataCentre(evidence),
-            loads: ToldLoads::OfDataCentre(loads),
+            evidence: AnnouncedTrials::OfDataCentre(evidence),
+            loads: AnnouncedLoads::OfDataCentre(loads),
             hosts: Vec::new(),
             ..self.clone()
         }
     }
 
     /// Tells of what its host runs in the data centre that it is for.
-    pub(crate) fn of_visitor(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
-        self.of_loads_only(ToldLoads::OfVisitor(loads))
+    pub(crate) fn with_remote_loads(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
+        self.loads_only(AnnouncedLoads::OfVisitor(loads))
     }
 
     /// Asks for what runs at the upstreams of the data centre that it is for.
-    pub(crate) fn that_asks(&self) -> Datagram {
+    pub(crate) fn to_load_query(&self) -> Datagram {
         Datagram {
             asks: true,
-            ..self.of_loads_only(ToldLoads::Nothing)
+            ..self.loads_only(AnnouncedLoads::Nothing)
         }
     }
 
     /// The answer to one that asks.
-    pub(crate) fn that_answers(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
-        self.of_loads_only(ToldLoads::OfDataCentre(loads))
+    pub(crate) fn to_load_answer(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
+        self.loads_only(AnnouncedLoads::OfDataCentre(loads))
     }
 
     /// Tells of loads, and of turns, which each datagram tells whole. Lists of upstreams that are leaving or can't be
     /// connected to grow with the fleet, and are told in rounds. So is how much of the log was read: who hears of news
     /// without the news would fetch it, over the link between data centres.
-    fn of_loads_only(&self, loads: ToldLoads) -> Datagram {
+    fn loads_only(&self, loads: AnnouncedLoads) -> Datagram {
         Datagram {
             loads,
             upstreams: Position::default(),
             upstreams_digest: 0,
             leaving: Vec::new(),
             unreachable: Vec::new(),
-            ..self.of_turns_only()
+            ..self.moves_only()
         }
     }
 
     /// Tells of turns alone.
-    pub(crate) fn of_turns_only(&self) -> Datagram {
-        self.of_suspects_only(Vec::new())
+    pub(crate) fn moves_only(&self) -> Datagram {
+        self.suspects_only(Vec::new())
     }
 
     /// Tells of these suspects, and of turns.
-    pub(crate) fn of_suspects_only(&self, suspects: Vec<AnnouncedSuspect>) -> Datagram {
+    pub(crate) fn suspects_only(&self, suspects: Vec<AnnouncedSuspect>) -> Datagram {
         Datagram {
             changes: Vec::new(),
-            loads: ToldLoads::Nothing,
-            evidence: ToldTrials::Nothing,
+            loads: AnnouncedLoads::Nothing,
+            evidence: AnnouncedTrials::Nothing,
             hosts: Vec::new(),
             suspects,
             ..self.clone()
@@ -287,7 +287,7 @@
 
 /// Changes of the upstreams on their way over a large fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ToldChanges {
+pub(crate) struct AnnouncedChanges {
     /// The host from which they go over the data centre of the receiver, by the address of its datagrams.
     pub(crate) root: SocketAddr,
     /// How many times more they may be passed on.
@@ -306,7 +306,7 @@
     pub(crate) has_more_changes: bool,
 }
 
-impl ToldChanges {
+impl AnnouncedChanges {
     /// As it travels.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_extend(self, vec![CHANGES_FORMAT]).unwrap_or_default()
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -24,7 +24,7 @@
 
 /// An answer that has begun.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct OpenResponse {
     /// Where the body comes from; closes with it.
     pub(crate) connection: Connection,
     pub(crate) head: Parts,
@@ -33,7 +33,7 @@
 
 /// Why no answer to the request began.
 #[derive(Debug)]
-pub(crate) enum Unanswered {
+pub(crate) enum SendError {
     /// It certainly did not run.
     NotRun(String),
     /// It may have run.
@@ -50,16 +50,16 @@
     admitted: &Admitted,
     mut connection: Connection,
     headers: &AttemptHeaders<'_>,
-) -> Result<Begun, Unanswered> {
+) -> Result<OpenResponse, SendError> {
     shared.check_suspension();
     // A run that was stopped to be moved goes on all the same, or it is lost.
     if headers.continue_from.is_none() && shared.is_resuming() {
         let reason = "the host was suspended before it was sent".to_owned();
-        return Err(Unanswered::NotRun(reason));
+        return Err(SendError::NotRun(reason));
     }
     if headers.time_left < TIME_LEFT_MIN {
         let reason = "the deadline passed before it was sent".to_owned();
-        return Err(Unanswered::NotRun(reason));
+        return Err(SendError::NotRun(reason));
     }
     let names = shared.protocol().headers();
     let request = forward::towards_upstream(&admitted.request, names, headers);
@@ -67,10 +67,10 @@
     let sent_at = shared.now();
     let response = match connection.send(request).await {
         Ok(response) => response,
-        Err(Failure::NotWritten(reason)) => return Err(Unanswered::NotRun(reason)),
+        Err(Failure::NotWritten(reason)) => return Err(SendError::NotRun(reason)),
         Err(Failure::Unknown(reason)) => {
             shared.record_crash(admitted.fingerprint, upstream);
-            return Err(Unanswered::Unknown(reason));
+            return Err(SendError::Unknown(reason));
         }
     };
     let (head, body) = response.into_parts();
@@ -80,9 +80,9 @@
     }
     if !is_answer_to(shared, admitted, &head.headers) {
         let reason = "an answer to another request".to_owned();
-        return Err(Unanswered::Unknown(reason));
+        return Err(SendError::Unknown(reason));
     }
-    Ok(Begun {
+    Ok(OpenResponse {
         connection,
         head,
         body,
@@ -91,35 +91,35 @@
 
 /// What an answer that was read whole says.
 #[derive(Debug)]
-pub(crate) enum Whole {
+pub(crate) enum ReadOutcome {
     /// It is the upstream's own answer.
     Answered(WholeAnswer),
     /// The request certainly did not run.
     NotRun(String),
     /// The answer broke off; the request may have run.
-    Broken(String),
+    Truncated(String),
 }
 
 /// Reads the rest of an answer from `upstream`.
-pub(crate) async fn read_whole(
+pub(crate) async fn read_response(
     shared: &Shared,
     admitted: &Admitted,
     upstream: &Upstream,
     head: Parts,
     body: Incoming,
-) -> Whole {
+) -> ReadOutcome {
     let body = match body.collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) => {
             shared.record_crash(admitted.fingerprint, &upstream.id);
-            return Whole::Broken(format!("the answer broke off: {error}"));
+            return ReadOutcome::Truncated(format!("the answer broke off: {error}"));
         }
     };
     if let Some(reason) = not_run_reason(shared, upstream, &head) {
-        return Whole::NotRun(reason);
+        return ReadOutcome::NotRun(reason);
     }
     shared.clear_suspect(admitted.fingerprint, &upstream.id);
-    Whole::Answered(WholeAnswer { head, body })
+    ReadOutcome::Answered(WholeAnswer { head, body })
 }
 
 /// Upstreams echo the request's id; an answer with another one belongs to another request.
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -15,7 +15,7 @@
 use crate::error::Result;
 use crate::event::EventCode;
 use crate::gateway::directory::Upstream;
-use crate::gateway::joining::Seeds;
+use crate::gateway::joining::SeedState;
 use crate::gateway::ownclient::Arrival;
 use crate::gateway::ownclient::OwnAnswer;
 use crate::gateway::ownclient::OwnClient;
@@ -226,7 +226,7 @@
         let settings = self.shared.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
         let is_young = self.shared.now() < Time::ZERO + age;
-        is_young && !is_seed && self.shared.seed_state() != Seeds::Away
+        is_young && !is_seed && self.shared.seed_state() != SeedState::Unreachable
     }
 
     /// Waits before the log is tried again: for `pause` on the hosts that look out for its return,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -24,10 +24,10 @@
 use self::receiving::take;
 use self::spread::Spread;
 use crate::clock::Time;
+use crate::gateway::datagram::AnnouncedLoads;
+use crate::gateway::datagram::AnnouncedTrials;
 use crate::gateway::datagram::DATAGRAM_BYTES_MAX;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::datagram::ToldLoads;
-use crate::gateway::datagram::ToldTrials;
 use crate::gateway::datagram::encode;
 use crate::gateway::peers::Recipients;
 use crate::gateway::shared::Shared;
@@ -37,7 +37,7 @@
 mod spread;
 
 #[cfg(test)]
-pub(crate) use self::far::FAR_INTERVAL;
+pub(crate) use self::far::REMOTE_INTERVAL;
 
 /// Time between two rounds while hosts are few.
 const INTERVAL_MIN: Duration = Duration::from_millis(250);
@@ -172,11 +172,11 @@
 /// Between two rounds that tell everything.
 fn full_interval(shared: &Shared) -> Duration {
     let now = shared.now();
-    interval_among(shared.peers(|peers| peers.count_near(now)))
+    round_interval(shared.peers(|peers| peers.count_near(now)))
 }
 
 /// Between two rounds to so many hosts of the own data centre.
-pub(crate) fn interval_among(near: usize) -> Duration {
+pub(crate) fn round_interval(near: usize) -> Duration {
     let near = u32::try_from(near).unwrap_or(u32::MAX);
     INTERVAL_MIN.max(INTERVAL_PER_HOST.saturating_mul(near))
 }
@@ -202,10 +202,10 @@
     }
     let datagram = match is_full {
         true => datagram,
-        false => datagram.of_the_log_only(),
+        false => datagram.log_only(),
     };
     if !unheard.is_empty() {
-        send_parts(socket, datagram.that_introduces(), &unheard).await;
+        send_parts(socket, datagram.with_host_request(), &unheard).await;
     }
     send_parts(socket, datagram, &heard).await;
 }
@@ -232,13 +232,13 @@
         log_era: shared.log_era(),
         evacuations: shared.announced_evacuations(),
         rollouts: shared.announced_rollouts(),
-        evidence: ToldTrials::OfHost(
+        evidence: AnnouncedTrials::OfHost(
             shared.rollout_evidence(|evidences| evidences.announce_host(now)),
         ),
         reading: shared.read_topics(),
         unreadable: shared.unreadable_topics(),
         peer_port: settings.peer_address.port(),
-        loads: ToldLoads::OfHost(shared.loads().with(|loads| loads.own())),
+        loads: AnnouncedLoads::OfHost(shared.loads().with(|loads| loads.own())),
         moving: shared.turns().with(|turns| turns.pending()),
         unreachable: shared.unreachable_upstreams(),
         suspects: shared.suspects(|suspects| suspects.announce(now)),
@@ -248,7 +248,7 @@
         hears_near: told_count(shared.peers(|peers| peers.count_near(now))),
         counted: told_count(shared.peers(|peers| peers.counted(now))),
         stopping: shared.gate().is_shutting_down(),
-        ..Datagram::of(settings.host.clone(), settings.data_centre.clone())
+        ..Datagram::new(settings.host.clone(), settings.data_centre.clone())
     };
     shared.directory(|directory| {
         datagram.upstreams = directory.position();
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/far.rs
@@ -21,7 +21,7 @@
 
 /// Some hosts of each other data centre are sent to at this interval while hosts are many: bytes between
 /// data centres are priced, and what they tell of is believed for 4 s.
-pub(crate) const FAR_INTERVAL: Duration = Duration::from_millis(1_800);
+pub(crate) const REMOTE_INTERVAL: Duration = Duration::from_millis(1_800);
 /// Rounds come a little sooner or later than their interval: what is due in each has this part of it.
 const EACH_ROUND: f64 = 0.9;
 
@@ -46,7 +46,9 @@
 impl FarRounds {
     /// Whether the time has come to tell of the data centre.
     fn is_due(&mut self, now: Time) -> bool {
-        let is_due = self.last.is_none_or(|last| now.since(last) >= FAR_INTERVAL);
+        let is_due = self
+            .last
+            .is_none_or(|last| now.since(last) >= REMOTE_INTERVAL);
         if is_due {
             self.last = Some(now);
         }
@@ -77,7 +79,7 @@
         }
         visits.retain(|data_centre, loads| {
             let told = self.told_visits.get(data_centre);
-            told.is_none_or(|(at, told)| told != loads || now.since(*at) >= FAR_INTERVAL)
+            told.is_none_or(|(at, told)| told != loads || now.since(*at) >= REMOTE_INTERVAL)
         });
         for (data_centre, loads) in &visits {
             let was_empty = self
@@ -126,33 +128,33 @@
     let now = shared.now();
     if far.tells_turns(!datagram.moving.is_empty()) {
         let targets = shared.peers(|peers| peers.all_outside());
-        send(socket, &encode(datagram.of_turns_only()), &targets).await;
+        send(socket, &encode(datagram.moves_only()), &targets).await;
     }
     // A repeat may go to any host next, and what a host tells its own data centre first is heard in
     // others 1.8 s later.
     let suspects = far.new_suspects(shared, now);
     if !suspects.is_empty() {
         let all = shared.peers(|peers| peers.all_outside());
-        send(socket, &encode(datagram.of_suspects_only(suspects)), &all).await;
+        send(socket, &encode(datagram.suspects_only(suspects)), &all).await;
     }
     if far.tells_rollouts(shared) {
         let all = shared.peers(|peers| peers.all_outside());
-        send(socket, &encode(datagram.of_turns_only()), &all).await;
+        send(socket, &encode(datagram.moves_only()), &all).await;
     }
     if far.is_due_of_reader(shared, now, datagram) {
         let all = shared.peers(|peers| peers.all_outside());
-        send_parts(socket, datagram.of_the_log_only(), &all).await;
+        send_parts(socket, datagram.log_only(), &all).await;
     }
     for (data_centre, loads) in far.visits_due(shared, now) {
         let visited = shared.peers(|peers| peers.hosts_visited(&data_centre));
-        send(socket, &encode(datagram.of_visitor(loads)), &visited).await;
+        send(socket, &encode(datagram.with_remote_loads(loads)), &visited).await;
     }
     if far.is_due(now) {
         let partners = shared.peers(|peers| peers.far_partners(now));
         for (data_centre, partners) in partners {
             let loads = shared.local_loads(&data_centre);
             let evidence = shared.rollout_evidence(|evidences| evidences.announce_data_centre(now));
-            let datagram = datagram.of_data_centre(loads, evidence);
+            let datagram = datagram.with_summary(loads, evidence);
             send(socket, &encode(datagram), &partners).await;
         }
     }
@@ -165,7 +167,7 @@
     if data_centres.is_empty() {
         return;
     }
-    let asking = encode(own_datagram(shared, now).that_asks());
+    let asking = encode(own_datagram(shared, now).to_load_query());
     for data_centre in data_centres {
         let asked = shared.peers(|peers| peers.hosts_asked(now, &data_centre));
         send(socket, &asking, &asked).await;
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -11,10 +11,10 @@
 use crate::clock::Time;
 use crate::event::EventCode;
 use crate::gateway::configfetch;
+use crate::gateway::datagram::AnnouncedChanges;
+use crate::gateway::datagram::AnnouncedLoads;
+use crate::gateway::datagram::AnnouncedTrials;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::datagram::ToldChanges;
-use crate::gateway::datagram::ToldLoads;
-use crate::gateway::datagram::ToldTrials;
 use crate::gateway::datagram::decode;
 use crate::gateway::datagram::encode;
 use crate::gateway::directory::Change;
@@ -41,7 +41,7 @@
 
 /// Takes one datagram, and answers it if it is to be answered.
 pub(super) async fn take(shared: &Shared, socket: &UdpSocket, from: SocketAddr, bytes: &[u8]) {
-    if let Some(told) = ToldChanges::decode(bytes) {
+    if let Some(told) = AnnouncedChanges::decode(bytes) {
         take_spread(shared, socket, &told).await;
     } else if let Some(answer) = receive(shared, from, bytes) {
         send(socket, &encode(answer), &[from]).await;
@@ -101,14 +101,14 @@
     }
     if datagram.asks {
         let loads = shared.local_loads(&data_centre);
-        return Some(own_datagram(shared, now).that_answers(loads));
+        return Some(own_datagram(shared, now).to_load_answer(loads));
     }
     let lacks_hosts = acquaintance.lacks_hosts;
     lacks_hosts.then(|| answer(shared, now, &data_centre, acquaintance))
 }
 
 /// Takes changes that came over others, and passes on what was new.
-async fn take_spread(shared: &Shared, socket: &UdpSocket, told: &ToldChanges) {
+async fn take_spread(shared: &Shared, socket: &UdpSocket, told: &AnnouncedChanges) {
     let now = shared.now();
     shared.receive_era(told.log_era, told.host.as_str());
     let is_new = told.position > shared.directory(|directory| directory.position());
@@ -129,13 +129,19 @@
 }
 
 /// Takes what `host` of `data_centre` tells of what runs where.
-fn take_loads(shared: &Shared, now: Time, host: HostId, data_centre: &DataCentre, told: ToldLoads) {
+fn take_loads(
+    shared: &Shared,
+    now: Time,
+    host: HostId,
+    data_centre: &DataCentre,
+    told: AnnouncedLoads,
+) {
     let data_centre = data_centre.clone();
     let (teller, loads) = match told {
-        ToldLoads::Nothing => return,
-        ToldLoads::OfHost(loads) => (ReportSource::Host(host), loads),
-        ToldLoads::OfVisitor(loads) => (ReportSource::RemoteHost { host, data_centre }, loads),
-        ToldLoads::OfDataCentre(loads) => (ReportSource::DataCentre(data_centre), loads),
+        AnnouncedLoads::Nothing => return,
+        AnnouncedLoads::OfHost(loads) => (ReportSource::Host(host), loads),
+        AnnouncedLoads::OfVisitor(loads) => (ReportSource::RemoteHost { host, data_centre }, loads),
+        AnnouncedLoads::OfDataCentre(loads) => (ReportSource::DataCentre(data_centre), loads),
     };
     let is_word = matches!(teller, ReportSource::DataCentre(_));
     shared
@@ -152,12 +158,14 @@
     now: Time,
     host: &HostId,
     data_centre: &DataCentre,
-    told: ToldTrials,
+    told: AnnouncedTrials,
 ) {
     let (teller, told) = match told {
-        ToldTrials::Nothing => return,
-        ToldTrials::OfHost(told) => (ReportSource::Host(host.clone()), told),
-        ToldTrials::OfDataCentre(told) => (ReportSource::DataCentre(data_centre.clone()), told),
+        AnnouncedTrials::Nothing => return,
+        AnnouncedTrials::OfHost(told) => (ReportSource::Host(host.clone()), told),
+        AnnouncedTrials::OfDataCentre(told) => {
+            (ReportSource::DataCentre(data_centre.clone()), told)
+        }
     };
     if !told.is_empty() {
         shared.rollout_evidence(|evidences| evidences.receive(now, teller, told));
@@ -172,7 +180,7 @@
     data_centre: &DataCentre,
     acquaintance: Acquaintance,
 ) -> Datagram {
-    let mut datagram = own_datagram(shared, now).of_the_log_only();
+    let mut datagram = own_datagram(shared, now).log_only();
     shared.peers(|peers| {
         datagram.introduced = peers.introductions(now, data_centre);
         if acquaintance.has_started {
--- a/src/gateway/gossip/spread.rs
+++ b/src/gateway/gossip/spread.rs
@@ -12,8 +12,8 @@
 
 use super::send;
 use crate::clock::Time;
-use crate::gateway::datagram::PART_CHANGES;
-use crate::gateway::datagram::ToldChanges;
+use crate::gateway::datagram::AnnouncedChanges;
+use crate::gateway::datagram::PART_CHANGES_MAX;
 use crate::gateway::directory::Change;
 use crate::gateway::directory::News;
 use crate::gateway::position::Position;
@@ -73,10 +73,10 @@
         changes.retain(|change| change.position >= told);
         self.leave_out_listed(now, &mut changes);
         let roots = shared.peers(|peers| peers.relay_roots(now));
-        let chunks = changes.chunks(PART_CHANGES);
+        let chunks = changes.chunks(PART_CHANGES_MAX);
         let count = chunks.len();
         for (index, changes) in chunks.enumerate() {
-            let near = ToldChanges {
+            let near = AnnouncedChanges {
                 root: shared.gossip_address(),
                 hops_left: HOPS_MAX,
                 host: shared.settings().host.clone(),
@@ -88,7 +88,7 @@
             };
             pass_on(shared, now, socket, &near).await;
             for root in &roots {
-                let far = ToldChanges {
+                let far = AnnouncedChanges {
                     root: *root,
                     ..near.clone()
                 };
@@ -101,17 +101,22 @@
 
 /// Whether changes are too many for one host to tell all others.
 pub(super) fn is_much(shared: &Shared, changes: &[Change]) -> bool {
-    let parts = changes.len().div_ceil(PART_CHANGES);
+    let parts = changes.len().div_ceil(PART_CHANGES_MAX);
     parts * shared.live_hosts() > DIRECT_MAX
 }
 
 /// Sends changes to the hosts behind this one in the tree of its data centre.
-pub(super) async fn pass_on(shared: &Shared, now: Time, socket: &UdpSocket, told: &ToldChanges) {
+pub(super) async fn pass_on(
+    shared: &Shared,
+    now: Time,
+    socket: &UdpSocket,
+    told: &AnnouncedChanges,
+) {
     let Some(hops_left) = told.hops_left.checked_sub(1) else {
         return;
     };
     let behind = shared.peers(|peers| peers.behind(now, told.root));
-    let told = ToldChanges {
+    let told = AnnouncedChanges {
         hops_left,
         ..told.clone()
     };
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -123,7 +123,7 @@
         actix_rt::spawn(suspectlog::run(shared.clone()));
         actix_rt::spawn(rolloutstatus::run(shared.clone()));
         actix_rt::spawn(gossip::run(shared.clone(), socket));
-        actix_rt::spawn(joining::ask_seeds(shared.clone()));
+        actix_rt::spawn(joining::query_seeds(shared.clone()));
         actix_rt::spawn(enginepoll::run(shared.clone()));
         actix_rt::spawn(lapse(shared.clone()));
         actix_rt::spawn(keep_up(telemetry));
--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -46,27 +46,27 @@
 
 /// Whether seeds can be connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Seeds {
+pub(crate) enum SeedState {
     /// Not tried yet.
     Unknown,
     /// At least one can.
-    Reached,
+    Reachable,
     /// None can, or none is named.
-    Away,
+    Unreachable,
 }
 
-impl Seeds {
+impl SeedState {
     const fn name(self) -> &'static str {
         match self {
-            Seeds::Unknown => "unknown",
-            Seeds::Reached => "reached",
-            Seeds::Away => "away",
+            SeedState::Unknown => "unknown",
+            SeedState::Reachable => "reached",
+            SeedState::Unreachable => "away",
         }
     }
 }
 
 /// Asks seeds until the host can serve.
-pub(crate) async fn ask_seeds(shared: Shared) {
+pub(crate) async fn query_seeds(shared: Shared) {
     let own = shared.settings().peer_address;
     let mut seeds = shared.settings().seeds.clone();
     seeds.retain(|seed| *seed != own);
@@ -98,15 +98,15 @@
     shared.peers(|peers| topics.iter().all(|topic| peers.hears_holder(now, *topic)))
 }
 
-async fn reach(seeds: &[SocketAddr]) -> Seeds {
+async fn reach(seeds: &[SocketAddr]) -> SeedState {
     for _ in 0..REACH_TRIES {
         tokio::time::sleep(REACH_PAUSE).await;
         let tries = seeds.iter().map(|seed| can_connect(*seed));
         if join_all(tries).await.contains(&true) {
-            return Seeds::Reached;
+            return SeedState::Reachable;
         }
     }
-    Seeds::Away
+    SeedState::Unreachable
 }
 
 async fn can_connect(seed: SocketAddr) -> bool {
@@ -149,7 +149,7 @@
 
 /// Keeps a request of a caller who gives it `timeout` while the host has just started and knows
 /// nothing yet.
-pub(crate) async fn wait_until_informed(shared: &Shared, timeout: Duration) {
+pub(crate) async fn wait_until_initialized(shared: &Shared, timeout: Duration) {
     if shared.is_initialized() {
         return;
     }
@@ -166,7 +166,7 @@
 
 /// Keeps a request of a caller who gives it `timeout` while the host has just woken from a suspension. Whether it
 /// knows by then what changed meanwhile.
-pub(crate) async fn wait_until_awake(shared: &Shared, timeout: Duration) -> bool {
+pub(crate) async fn wait_until_resumed(shared: &Shared, timeout: Duration) -> bool {
     let until = Instant::now() + patience(Duration::ZERO, timeout);
     while shared.is_resuming() && Instant::now() < until {
         tokio::time::sleep(WAKING_CHECK).await;
--- a/src/gateway/joining/tests.rs
+++ b/src/gateway/joining/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::START_PATIENCE;
-use super::Seeds;
+use super::SeedState;
 use super::patience;
 use super::reach;
 
@@ -15,8 +15,8 @@
 
 #[actix_rt::test]
 async fn seeds_that_nobody_can_connect_to_are_away() {
-    assert_eq!(reach(&[closed_address()]).await, Seeds::Away);
-    assert_eq!(reach(&[]).await, Seeds::Away);
+    assert_eq!(reach(&[closed_address()]).await, SeedState::Unreachable);
+    assert_eq!(reach(&[]).await, SeedState::Unreachable);
 }
 
 #[actix_rt::test]
@@ -24,7 +24,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let seeds = [closed_address(), listener.local_addr().unwrap()];
 
-    assert_eq!(reach(&seeds).await, Seeds::Reached);
+    assert_eq!(reach(&seeds).await, SeedState::Reachable);
 }
 
 #[test]
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -12,8 +12,8 @@
 use super::Peers;
 use super::Recipients;
 use crate::clock::Time;
+use crate::gateway::datagram::AnnouncedLoads;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::datagram::ToldLoads;
 use crate::gateway::datagram::decode;
 use crate::gateway::datagram::encode;
 use crate::gateway::directory::Change;
@@ -43,8 +43,8 @@
         config: 3,
         upstreams: 10.into(),
         peer_port: 8000,
-        loads: ToldLoads::OfHost(Vec::new()),
-        ..Datagram::of(host(index), DataCentre::new(data_centre))
+        loads: AnnouncedLoads::OfHost(Vec::new()),
+        ..Datagram::new(host(index), DataCentre::new(data_centre))
     }
 }
 
@@ -111,13 +111,13 @@
         let upstream = InstanceId::from(UpstreamId::new(format!("i-{index:08}")));
         (upstream.key(), load)
     });
-    large.loads = ToldLoads::OfHost(loads.collect());
+    large.loads = AnnouncedLoads::OfHost(loads.collect());
 
     let bytes = encode(large);
     let kept = decode(&bytes).unwrap();
 
     assert!(bytes.len() <= 1_400, "{}", bytes.len());
-    let ToldLoads::OfHost(kept) = kept.loads else {
+    let AnnouncedLoads::OfHost(kept) = kept.loads else {
         panic!("the host's own loads");
     };
     let least = 200 - kept.len() as u32;
@@ -337,9 +337,9 @@
     let told = datagram(1, "north");
 
     let of_loads = [
-        told.of_visitor(Vec::new()),
-        told.that_asks(),
-        told.that_answers(Vec::new()),
+        told.with_remote_loads(Vec::new()),
+        told.to_load_query(),
+        told.to_load_answer(Vec::new()),
     ];
 
     for datagram in of_loads {
--- a/src/gateway/peers/tests/fleet.rs
+++ b/src/gateway/peers/tests/fleet.rs
@@ -12,8 +12,8 @@
 use super::datagram;
 use crate::clock::Time;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::gossip::FAR_INTERVAL;
-use crate::gateway::gossip::interval_among;
+use crate::gateway::gossip::REMOTE_INTERVAL;
+use crate::gateway::gossip::round_interval;
 use crate::gateway::peers::Peers;
 use crate::gateway::peers::Recipients;
 use crate::id::DataCentre;
@@ -85,7 +85,7 @@
                 return;
             }
             self.round(now, index);
-            let next = now + interval_among(self.hosts[index].peers.count_near(now));
+            let next = now + round_interval(self.hosts[index].peers.count_near(now));
             self.due.push(Reverse((next, index)));
         }
     }
@@ -103,7 +103,7 @@
             targets.partition(|target| host.peers.is_unheard(target));
         let is_far_due = host
             .last_far
-            .is_none_or(|last| now.since(last) >= FAR_INTERVAL);
+            .is_none_or(|last| now.since(last) >= REMOTE_INTERVAL);
         let far = match !is_small && is_far_due {
             true => {
                 host.last_far = Some(now);
@@ -113,9 +113,9 @@
             false => Vec::new(),
         };
         let told = host.tell(now);
-        self.send(now, index, &unheard, &told.that_introduces());
+        self.send(now, index, &unheard, &told.with_host_request());
         self.send(now, index, &heard, &told);
-        let told_far = told.of_data_centre(Vec::new(), Vec::new());
+        let told_far = told.with_summary(Vec::new(), Vec::new());
         self.send(now, index, &far, &told_far);
     }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -323,8 +323,8 @@
     let id = request.text(&names.request_id).unwrap_or("").to_owned();
     let reject = |refusal: Refusal| reject(shared, &id, &request, &refusal);
     let caller_timeout = caller_timeout(&request, names);
-    joining::wait_until_informed(shared, caller_timeout).await;
-    if !joining::wait_until_awake(shared, caller_timeout).await {
+    joining::wait_until_initialized(shared, caller_timeout).await;
+    if !joining::wait_until_resumed(shared, caller_timeout).await {
         let refusal = Refusal::not_run(Code::NotReady, "the host has just woken from a suspension");
         return Err(reject(refusal));
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -28,7 +28,7 @@
 use crate::gateway::document::transfers::Transfers;
 use crate::gateway::hearsay::Hearsay;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::joining::Seeds;
+use crate::gateway::joining::SeedState;
 use crate::gateway::loads::SharedLoads;
 use crate::gateway::movequeue::MoveQueueHandle;
 use crate::gateway::partition::PartitionDetector;
@@ -106,7 +106,7 @@
     announcements: watch::Sender<u64>,
     read_changes: watch::Sender<u64>,
     shutdown_deadline: OnceLock<Instant>,
-    seed_state: Mutex<Seeds>,
+    seed_state: Mutex<SeedState>,
     partition: Mutex<PartitionDetector>,
     config_version: AtomicU64,
     catch_up: Mutex<CatchUp>,
@@ -161,7 +161,7 @@
             announcements: watch::channel(0).0,
             read_changes: watch::channel(0).0,
             shutdown_deadline: OnceLock::new(),
-            seed_state: Mutex::new(Seeds::Unknown),
+            seed_state: Mutex::new(SeedState::Unknown),
             partition: Mutex::default(),
             config_version: AtomicU64::new(0),
             catch_up: Mutex::new(CatchUp::new(rand::random())),
@@ -266,12 +266,12 @@
     }
 
     /// Whether the host could connect to a seed when it started.
-    pub(crate) fn seed_state(&self) -> Seeds {
+    pub(crate) fn seed_state(&self) -> SeedState {
         *lock(&self.0.seed_state)
     }
 
     /// Records whether the host could connect to a seed.
-    pub(crate) fn set_seed_state(&self, seeds: Seeds) {
+    pub(crate) fn set_seed_state(&self, seeds: SeedState) {
         *lock(&self.0.seed_state) = seeds;
     }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -22,9 +22,9 @@
 use crate::gateway::connection::Patience;
 use crate::gateway::directory::Upstream;
 use crate::gateway::exchange;
-use crate::gateway::exchange::Begun;
-use crate::gateway::exchange::Unanswered;
-use crate::gateway::exchange::Whole;
+use crate::gateway::exchange::OpenResponse;
+use crate::gateway::exchange::ReadOutcome;
+use crate::gateway::exchange::SendError;
 use crate::gateway::forward::AttemptHeaders;
 use crate::gateway::instance::InstanceId;
 use crate::gateway::loads::LoadGuard;
@@ -326,15 +326,15 @@
     };
     let begun = match exchange::send(shared, admitted, connection, &headers).await {
         Ok(begun) => begun,
-        Err(Unanswered::NotRun(reason)) => return Opened::NotRun(reason),
-        Err(Unanswered::Unknown(reason)) => {
+        Err(SendError::NotRun(reason)) => return Opened::NotRun(reason),
+        Err(SendError::Unknown(reason)) => {
             // An engine that crashes takes connections for a while and looks empty, so it would be
             // chosen again and again by each host that has not seen it yet.
             shared.record_unreachable(&upstream.id, &reason);
             return Opened::Unknown(reason);
         }
     };
-    let Begun {
+    let OpenResponse {
         connection,
         head,
         body,
@@ -350,10 +350,10 @@
             unread_tokens,
         }));
     }
-    match exchange::read_whole(shared, admitted, upstream, head, body).await {
-        Whole::Answered(answer) => Opened::Answered(answer),
-        Whole::NotRun(reason) => Opened::NotRun(reason),
-        Whole::Broken(reason) => Opened::Unknown(reason),
+    match exchange::read_response(shared, admitted, upstream, head, body).await {
+        ReadOutcome::Answered(answer) => Opened::Answered(answer),
+        ReadOutcome::NotRun(reason) => Opened::NotRun(reason),
+        ReadOutcome::Truncated(reason) => Opened::Unknown(reason),
     }
 }
 
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -14,8 +14,8 @@
 use super::is_held_back;
 use super::upstream;
 use crate::clock::Time;
-use crate::gateway::gossip::FAR_INTERVAL;
-use crate::gateway::gossip::interval_among;
+use crate::gateway::gossip::REMOTE_INTERVAL;
+use crate::gateway::gossip::round_interval;
 use crate::gateway::peers::FAR_PARTNERS;
 
 /// The share of datagrams that are lost.
@@ -42,12 +42,12 @@
 impl Fleet {
     fn start(count: usize, data_centres: usize) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(11);
-        let near = interval_among(count / data_centres);
+        let near = round_interval(count / data_centres);
         let mut random_part = |whole: Duration| at(0) + whole.mul_f64(random.random());
         let hosts = (0..count).map(|_| Host {
             suspects: Suspects::default(),
             next_near: random_part(near),
-            next_far: random_part(FAR_INTERVAL),
+            next_far: random_part(REMOTE_INTERVAL),
         });
         Fleet {
             hosts: hosts.collect(),
@@ -93,12 +93,12 @@
         let here = host % self.data_centres;
         let near = self.hosts_in(here);
         if self.hosts[host].next_near <= now {
-            self.hosts[host].next_near = now + interval_among(near.len());
+            self.hosts[host].next_near = now + round_interval(near.len());
             let announced = self.hosts[host].suspects.announce(now);
             self.send(now, &near, &announced);
         }
         if self.hosts[host].next_far <= now {
-            self.hosts[host].next_far = now + FAR_INTERVAL;
+            self.hosts[host].next_far = now + REMOTE_INTERVAL;
             let announced = self.hosts[host].suspects.announce(now);
             for data_centre in (0..self.data_centres).filter(|other| *other != here) {
                 let there = self.hosts_in(data_centre);
