--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -80,7 +80,7 @@
 }
 
 impl AnnouncedLoads {
-    fn listed(&mut self) -> Option<&mut Vec<(InstanceKey, Load)>> {
+    fn entries_mut(&mut self) -> Option<&mut Vec<(InstanceKey, Load)>> {
         match self {
             AnnouncedLoads::Nothing => None,
             AnnouncedLoads::OfHost(loads)
@@ -186,7 +186,7 @@
 
     /// The datagram with the last of its changes, and before it others with the rest: dozens of upstreams
     /// may leave in one moment, and a host that misses one change fetches the whole list.
-    pub(crate) fn into_parts(mut self) -> Vec<Datagram> {
+    pub(crate) fn split(mut self) -> Vec<Datagram> {
         let mut parts = Vec::new();
         while self.changes.len() > PART_CHANGES_MAX {
             let rest = self.changes.split_off(PART_CHANGES_MAX);
@@ -323,12 +323,12 @@
 
 /// A datagram that is too large loses its oldest changes, then its smallest loads, then suspects.
 pub fn encode(mut datagram: Datagram) -> Vec<u8> {
-    if let Some(loads) = datagram.loads.listed() {
+    if let Some(loads) = datagram.loads.entries_mut() {
         loads.sort_by_key(|(_, load)| std::cmp::Reverse(load.tokens));
     }
     loop {
         let bytes = postcard::to_extend(&datagram, vec![FORMAT]).unwrap_or_default();
-        if bytes.len() <= DATAGRAM_BYTES_MAX || !shorten(&mut datagram) {
+        if bytes.len() <= DATAGRAM_BYTES_MAX || !truncate(&mut datagram) {
             return bytes;
         }
     }
@@ -347,12 +347,12 @@
 }
 
 /// Leaves something out; false if there is nothing to leave out.
-fn shorten(datagram: &mut Datagram) -> bool {
+fn truncate(datagram: &mut Datagram) -> bool {
     if !datagram.changes.is_empty() {
         datagram.changes.remove(0);
         return true;
     }
-    match datagram.loads.listed() {
+    match datagram.loads.entries_mut() {
         Some(loads) if !loads.is_empty() => {
             loads.truncate(loads.len() * 3 / 4);
             true
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -20,7 +20,7 @@
 const TIME_LEFT_MIN: Duration = Duration::from_millis(1);
 
 /// The status by which another instance than the expected one answers (RFC 9110, section 15.5.20).
-const OTHER_INSTANCE: u16 = 421;
+const MISDIRECTED_REQUEST: u16 = 421;
 
 /// An answer that has begun.
 #[derive(Debug)]
@@ -74,11 +74,11 @@
         }
     };
     let (head, body) = response.into_parts();
-    if head.status.as_u16() != OTHER_INSTANCE {
+    if head.status.as_u16() != MISDIRECTED_REQUEST {
         shared.record_reported_load(upstream, &head.headers);
         shared.record_alive(sent_at, upstream);
     }
-    if !is_answer_to(shared, admitted, &head.headers) {
+    if !is_response_to(shared, admitted, &head.headers) {
         let reason = "an answer to another request".to_owned();
         return Err(SendError::Unknown(reason));
     }
@@ -123,7 +123,7 @@
 }
 
 /// Upstreams echo the request's id; an answer with another one belongs to another request.
-fn is_answer_to(shared: &Shared, admitted: &Admitted, headers: &HeaderMap) -> bool {
+fn is_response_to(shared: &Shared, admitted: &Admitted, headers: &HeaderMap) -> bool {
     let echoed = headers.get(&shared.protocol().headers().request_id);
     echoed.is_none_or(|echoed| echoed.as_bytes() == admitted.id.as_bytes())
 }
@@ -133,7 +133,7 @@
 fn not_run_reason(shared: &Shared, upstream: &Upstream, head: &Parts) -> Option<String> {
     let names = shared.protocol().headers();
     let status = head.status.as_u16();
-    if status == OTHER_INSTANCE {
+    if status == MISDIRECTED_REQUEST {
         let reason = "another instance answers at its address";
         shared.observe_leaving(&upstream.id, reason);
         return Some(reason.to_owned());
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -20,9 +20,9 @@
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
-use self::far::FarRounds;
-use self::receiving::take;
-use self::spread::Spread;
+use self::receiving::handle;
+use self::relay::ChangeRelay;
+use self::remote::RemoteRounds;
 use crate::clock::Time;
 use crate::gateway::datagram::AnnouncedLoads;
 use crate::gateway::datagram::AnnouncedTrials;
@@ -32,61 +32,61 @@
 use crate::gateway::peers::Recipients;
 use crate::gateway::shared::Shared;
 
-mod far;
 mod receiving;
-mod spread;
+mod relay;
+mod remote;
 
 #[cfg(test)]
-pub(crate) use self::far::REMOTE_INTERVAL;
+pub(crate) use self::remote::REMOTE_INTERVAL;
 
 /// Time between two rounds while hosts are few.
 const INTERVAL_MIN: Duration = Duration::from_millis(250);
 /// News goes out at once, but not sooner than this after the round before.
-const NEWS_INTERVAL_MIN: Duration = Duration::from_millis(10);
+const CHANGE_INTERVAL_MIN: Duration = Duration::from_millis(10);
 /// Added for each host of the data centre: bounds datagrams to 83 a second each way, a few percent of a
 /// tenth of a core.
 const INTERVAL_PER_HOST: Duration = Duration::from_millis(12);
 /// Datagrams are read as they arrive in data centres of up to so many other hosts,
-const GATHERED_FROM: usize = 100;
+const BATCH_HOSTS_MIN: usize = 100;
 /// and gathered for so much longer for each further one,
-const GATHERED_PER_HOST: Duration = Duration::from_micros(500);
+const BATCH_DELAY_PER_HOST: Duration = Duration::from_micros(500);
 /// up to this time, which passes at each of a few hops that a change takes.
-const GATHERED_MAX: Duration = Duration::from_millis(100);
+const BATCH_DELAY_MAX: Duration = Duration::from_millis(100);
 
 /// Sends and receives datagrams for ever.
 pub async fn run(shared: Shared, socket: UdpSocket) {
-    let mut news = shared.watch_announcements();
-    let mut asks = shared.watch_load_queries();
-    let mut changes_read = shared.watch_read_changes();
-    let mut spread = Spread::default();
+    let mut announcements = shared.watch_announcements();
+    let mut load_queries = shared.watch_load_queries();
+    let mut read_changes = shared.watch_read_changes();
+    let mut relay = ChangeRelay::default();
     let mut buffer = vec![0; 2 * DATAGRAM_BYTES_MAX];
     let mut rounds = Rounds::new();
     let mut receives_at = Instant::now();
     loop {
         tokio::select! {
-            received = receive_from(&socket, receives_at, &mut buffer) => {
+            received = receive_after(&socket, receives_at, &mut buffer) => {
                 shared.check_suspension();
                 let mut received = Some(received);
                 while let Some(datagram) = received {
                     match datagram {
                         Ok((length, from)) => {
-                            take(&shared, &socket, from, &buffer[..length]).await;
+                            handle(&shared, &socket, from, &buffer[..length]).await;
                         }
                         // A datagram sent to a host that is gone comes back as an error here.
                         Err(error) => log::debug!("datagram: {error}"),
                     }
-                    received = waiting(&socket, &mut buffer);
+                    received = try_receive(&socket, &mut buffer);
                 }
-                receives_at = Instant::now() + receive_pause(&shared);
+                receives_at = Instant::now() + batch_delay(&shared);
             },
-            _ = news.changed() => rounds.hasten(),
-            _ = changes_read.changed() => if !spread.send_new(&shared, &socket).await {
-                rounds.hasten();
+            _ = announcements.changed() => rounds.expedite(),
+            _ = read_changes.changed() => if !relay.send_changes(&shared, &socket).await {
+                rounds.expedite();
             },
-            _ = asks.changed() => far::ask(&shared, &socket).await,
+            _ = load_queries.changed() => remote::query_loads(&shared, &socket).await,
             () = tokio::time::sleep_until(rounds.next) => {
                 let is_full = rounds.is_full(&shared);
-                send_round(&shared, &socket, &mut rounds.far, is_full).await;
+                send_round(&shared, &socket, &mut rounds.remote, is_full).await;
                 rounds.end(&shared, is_full);
             }
         }
@@ -94,7 +94,7 @@
 }
 
 /// The next datagram, not before `receives_at`.
-async fn receive_from(
+async fn receive_after(
     socket: &UdpSocket,
     receives_at: Instant,
     buffer: &mut [u8],
@@ -104,7 +104,10 @@
 }
 
 /// A datagram that has arrived already.
-fn waiting(socket: &UdpSocket, buffer: &mut [u8]) -> Option<std::io::Result<(usize, SocketAddr)>> {
+fn try_receive(
+    socket: &UdpSocket,
+    buffer: &mut [u8],
+) -> Option<std::io::Result<(usize, SocketAddr)>> {
     match socket.try_recv_from(buffer) {
         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => None,
         received => Some(received),
@@ -112,11 +115,13 @@
 }
 
 /// How long a host of a large data centre lets datagrams gather: each would else wake it, a hundred times a second.
-fn receive_pause(shared: &Shared) -> Duration {
+fn batch_delay(shared: &Shared) -> Duration {
     let now = shared.now();
     let near = shared.peers(|peers| peers.count_near(now));
-    let many = u32::try_from(near.saturating_sub(GATHERED_FROM)).unwrap_or(u32::MAX);
-    GATHERED_PER_HOST.saturating_mul(many).min(GATHERED_MAX)
+    let excess = saturating_u32(near.saturating_sub(BATCH_HOSTS_MIN));
+    BATCH_DELAY_PER_HOST
+        .saturating_mul(excess)
+        .min(BATCH_DELAY_MAX)
 }
 
 /// When this host sends, and whether it tells everything then.
@@ -126,8 +131,8 @@
     last: Instant,
     last_full: Instant,
     /// What the host has to tell doesn't wait for its turn.
-    has_news: bool,
-    far: FarRounds,
+    has_changes: bool,
+    remote: RemoteRounds,
 }
 
 impl Rounds {
@@ -137,20 +142,20 @@
             next: now,
             last: now,
             last_full: now,
-            has_news: true,
-            far: FarRounds::default(),
+            has_changes: true,
+            remote: RemoteRounds::default(),
         }
     }
 
     /// There is news.
-    fn hasten(&mut self) {
-        self.has_news = true;
-        self.next = self.next.min(self.last + NEWS_INTERVAL_MIN);
+    fn expedite(&mut self) {
+        self.has_changes = true;
+        self.next = self.next.min(self.last + CHANGE_INTERVAL_MIN);
     }
 
     /// Whether this round tells everything; a reader's rounds in between tell of the log alone.
     fn is_full(&self, shared: &Shared) -> bool {
-        self.has_news || self.last_full.elapsed() >= full_interval(shared)
+        self.has_changes || self.last_full.elapsed() >= full_interval(shared)
     }
 
     fn end(&mut self, shared: &Shared, was_full: bool) {
@@ -164,7 +169,7 @@
             false => until_full,
         };
         self.last = now;
-        self.has_news = false;
+        self.has_changes = false;
         self.next = now + interval;
     }
 }
@@ -176,43 +181,42 @@
 }
 
 /// Between two rounds to so many hosts of the own data centre.
-pub(crate) fn round_interval(near: usize) -> Duration {
-    let near = u32::try_from(near).unwrap_or(u32::MAX);
-    INTERVAL_MIN.max(INTERVAL_PER_HOST.saturating_mul(near))
+pub(crate) fn round_interval(local_hosts: usize) -> Duration {
+    INTERVAL_MIN.max(INTERVAL_PER_HOST.saturating_mul(saturating_u32(local_hosts)))
 }
 
-async fn send_round(shared: &Shared, socket: &UdpSocket, far: &mut FarRounds, is_full: bool) {
+async fn send_round(shared: &Shared, socket: &UdpSocket, remote: &mut RemoteRounds, is_full: bool) {
     let now = shared.now();
     let is_small = shared.is_small_fleet();
     let recipients = match is_small {
         true => Recipients::All,
         false => Recipients::Near,
     };
-    let (unheard, heard) = shared.peers(|peers| {
+    let (unconfirmed, confirmed) = shared.peers(|peers| {
         peers.count(now);
         let targets = peers.targets(now, recipients).into_iter();
         targets.partition::<Vec<_>, _>(|target| peers.is_unheard(target))
     });
-    let mut datagram = own_datagram(shared, now);
-    if spread::is_much(shared, &datagram.changes) {
+    let mut datagram = local_datagram(shared, now);
+    if relay::is_needed(shared, &datagram.changes) {
         datagram.changes.clear();
     }
     if !is_small {
-        far::send_far(shared, socket, far, &datagram).await;
+        remote::send_due(shared, socket, remote, &datagram).await;
     }
     let datagram = match is_full {
         true => datagram,
         false => datagram.log_only(),
     };
-    if !unheard.is_empty() {
-        send_parts(socket, datagram.with_host_request(), &unheard).await;
+    if !unconfirmed.is_empty() {
+        send_parts(socket, datagram.with_host_request(), &unconfirmed).await;
     }
-    send_parts(socket, datagram, &heard).await;
+    send_parts(socket, datagram, &confirmed).await;
 }
 
 /// Sends a datagram, and before it the changes of the upstreams that have no room in it.
 async fn send_parts(socket: &UdpSocket, datagram: Datagram, targets: &[SocketAddr]) {
-    for part in datagram.into_parts() {
+    for part in datagram.split() {
         send(socket, &encode(part), targets).await;
     }
 }
@@ -225,7 +229,7 @@
     }
 }
 
-fn own_datagram(shared: &Shared, now: Time) -> Datagram {
+fn local_datagram(shared: &Shared, now: Time) -> Datagram {
     let settings = shared.settings();
     let mut datagram = Datagram {
         config: shared.config_version(),
@@ -244,9 +248,9 @@
         suspects: shared.suspects(|suspects| suspects.announce(now)),
         hosts: shared.peers(|peers| peers.some(now)),
         lacks_hosts: shared.peers(|peers| peers.lacks_hosts()),
-        hears: told_count(shared.peers(|peers| peers.live(now))),
-        hears_near: told_count(shared.peers(|peers| peers.count_near(now))),
-        counted: told_count(shared.peers(|peers| peers.counted(now))),
+        hears: saturating_u32(shared.peers(|peers| peers.live(now))),
+        hears_near: saturating_u32(shared.peers(|peers| peers.count_near(now))),
+        counted: saturating_u32(shared.peers(|peers| peers.counted(now))),
         stopping: shared.gate().is_shutting_down(),
         ..Datagram::new(settings.host.clone(), settings.data_centre.clone())
     };
@@ -262,6 +266,6 @@
 }
 
 /// A number of hosts as datagrams carry it.
-fn told_count(hosts: usize) -> u32 {
+fn saturating_u32(hosts: usize) -> u32 {
     u32::try_from(hosts).unwrap_or(u32::MAX)
 }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -5,9 +5,9 @@
 
 use tokio::net::UdpSocket;
 
-use super::own_datagram;
+use super::local_datagram;
+use super::relay;
 use super::send;
-use super::spread;
 use crate::clock::Time;
 use crate::event::EventCode;
 use crate::gateway::configfetch;
@@ -29,27 +29,27 @@
 use crate::id::HostId;
 
 /// A host whose own reading works gives it this time before it asks a peer for news.
-const OWN_READING_FIRST: Duration = Duration::from_millis(300);
+const OWN_READ_GRACE: Duration = Duration::from_millis(300);
 /// Hosts that know nothing yet ask within this time for each other one of their data centre.
-const START_SPREAD_PER_HOST: Duration = Duration::from_millis(1);
+const START_JITTER_PER_HOST: Duration = Duration::from_millis(1);
 /// Hosts that only listen fetch within this time of the first word.
-const LISTENER_SPREAD: Duration = Duration::from_millis(250);
+const FETCH_JITTER_MIN: Duration = Duration::from_millis(250);
 /// and in large fleets within so much for each host, as changes then come faster than a host can fetch them one by one,
-const LISTENER_SPREAD_PER_HOST: Duration = Duration::from_micros(750);
+const FETCH_JITTER_PER_HOST: Duration = Duration::from_micros(750);
 /// up to a part of the bounds on what must be known.
-const LISTENER_SPREAD_MAX: Duration = Duration::from_millis(1_000);
+const FETCH_JITTER_MAX: Duration = Duration::from_millis(1_000);
 
 /// Takes one datagram, and answers it if it is to be answered.
-pub(super) async fn take(shared: &Shared, socket: &UdpSocket, from: SocketAddr, bytes: &[u8]) {
-    if let Some(told) = AnnouncedChanges::decode(bytes) {
-        take_spread(shared, socket, &told).await;
-    } else if let Some(answer) = receive(shared, from, bytes) {
+pub(super) async fn handle(shared: &Shared, socket: &UdpSocket, from: SocketAddr, bytes: &[u8]) {
+    if let Some(announced) = AnnouncedChanges::decode(bytes) {
+        apply_relayed(shared, socket, &announced).await;
+    } else if let Some(answer) = apply_datagram(shared, from, bytes) {
         send(socket, &encode(answer), &[from]).await;
     }
 }
 
 /// Takes a datagram; returns the answer to a host that was not known.
-fn receive(shared: &Shared, from: SocketAddr, bytes: &[u8]) -> Option<Datagram> {
+fn apply_datagram(shared: &Shared, from: SocketAddr, bytes: &[u8]) -> Option<Datagram> {
     let datagram = match decode(bytes) {
         Ok(datagram) => datagram,
         Err(error) => {
@@ -58,10 +58,11 @@
         }
     };
     let now = shared.now();
-    let acquaintance = shared.peers(|peers| peers.hear(now, from, &datagram));
-    if acquaintance.is_news {
-        let line = shared.log().line(EventCode::PeerJoined);
-        line.with("peer", datagram.host.as_str())
+    let sender = shared.peers(|peers| peers.hear(now, from, &datagram));
+    if sender.is_news {
+        let entry = shared.log().line(EventCode::PeerJoined);
+        entry
+            .with("peer", datagram.host.as_str())
             .with("address", from.to_string())
             .with("data_centre", datagram.data_centre.as_str())
             .with("hosts", shared.live_hosts())
@@ -77,22 +78,22 @@
         shared.receive_unreachable(&datagram.host, &datagram.unreachable);
     }
     shared.receive_suspects(datagram.host.as_str(), &datagram.suspects);
-    let told = ToldPosition {
+    let announced = AnnouncedPosition {
         host: &datagram.host,
         position: datagram.upstreams,
         digest: datagram.upstreams_digest,
         changes: &datagram.changes,
         has_more_changes: datagram.has_more_changes,
     };
-    let newer_upstreams = take_changes(shared, now, told);
+    let newer_upstreams = apply_changes(shared, now, announced);
     let upstreams = datagram.upstreams;
     let newer_config = datagram.config > shared.config_version();
     shared
         .turns()
         .with(|turns| turns.receive(now, &datagram.host, datagram.moving));
     let data_centre = datagram.data_centre;
-    take_evidence(shared, now, &datagram.host, &data_centre, datagram.evidence);
-    take_loads(shared, now, datagram.host, &data_centre, datagram.loads);
+    apply_evidence(shared, now, &datagram.host, &data_centre, datagram.evidence);
+    apply_loads(shared, now, datagram.host, &data_centre, datagram.loads);
     if newer_config {
         configfetch::fetch_soon(shared, fetch_wait(shared));
     }
@@ -101,89 +102,89 @@
     }
     if datagram.asks {
         let loads = shared.local_loads(&data_centre);
-        return Some(own_datagram(shared, now).to_load_answer(loads));
+        return Some(local_datagram(shared, now).to_load_answer(loads));
     }
-    let lacks_hosts = acquaintance.lacks_hosts;
-    lacks_hosts.then(|| answer(shared, now, &data_centre, acquaintance))
+    let lacks_hosts = sender.lacks_hosts;
+    lacks_hosts.then(|| introduction(shared, now, &data_centre, sender))
 }
 
 /// Takes changes that came over others, and passes on what was new.
-async fn take_spread(shared: &Shared, socket: &UdpSocket, told: &AnnouncedChanges) {
+async fn apply_relayed(shared: &Shared, socket: &UdpSocket, announced: &AnnouncedChanges) {
     let now = shared.now();
-    shared.receive_era(told.log_era, told.host.as_str());
-    let is_new = told.position > shared.directory(|directory| directory.position());
+    shared.receive_era(announced.log_era, announced.host.as_str());
+    let is_new = announced.position > shared.directory(|directory| directory.position());
     if !is_new {
         return;
     }
-    spread::pass_on(shared, now, socket, told).await;
-    let told = ToldPosition {
-        host: &told.host,
-        position: told.position,
-        digest: told.digest,
-        changes: &told.changes,
-        has_more_changes: told.has_more_changes,
+    relay::forward(shared, now, socket, announced).await;
+    let announced = AnnouncedPosition {
+        host: &announced.host,
+        position: announced.position,
+        digest: announced.digest,
+        changes: &announced.changes,
+        has_more_changes: announced.has_more_changes,
     };
-    if take_changes(shared, now, told) {
-        peerfetch::fetch_soon(shared, told.position, fetch_wait(shared));
+    if apply_changes(shared, now, announced) {
+        peerfetch::fetch_soon(shared, announced.position, fetch_wait(shared));
     }
 }
 
 /// Takes what `host` of `data_centre` tells of what runs where.
-fn take_loads(
+fn apply_loads(
     shared: &Shared,
     now: Time,
     host: HostId,
     data_centre: &DataCentre,
-    told: AnnouncedLoads,
+    announced: AnnouncedLoads,
 ) {
     let data_centre = data_centre.clone();
-    let (teller, loads) = match told {
+    let (source, loads) = match announced {
         AnnouncedLoads::Nothing => return,
         AnnouncedLoads::OfHost(loads) => (ReportSource::Host(host), loads),
         AnnouncedLoads::OfVisitor(loads) => (ReportSource::RemoteHost { host, data_centre }, loads),
         AnnouncedLoads::OfDataCentre(loads) => (ReportSource::DataCentre(data_centre), loads),
     };
-    let is_word = matches!(teller, ReportSource::DataCentre(_));
+    let is_summary = matches!(source, ReportSource::DataCentre(_));
     shared
         .loads()
-        .with(|board| board.receive(now, teller, loads));
-    if is_word {
+        .with(|board| board.receive(now, source, loads));
+    if is_summary {
         shared.notify_load_report();
     }
 }
 
 /// Takes what `host` of `data_centre` tells of versions that are tried.
-fn take_evidence(
+fn apply_evidence(
     shared: &Shared,
     now: Time,
     host: &HostId,
     data_centre: &DataCentre,
-    told: AnnouncedTrials,
+    announced: AnnouncedTrials,
 ) {
-    let (teller, told) = match told {
+    let (source, announced) = match announced {
         AnnouncedTrials::Nothing => return,
-        AnnouncedTrials::OfHost(told) => (ReportSource::Host(host.clone()), told),
-        AnnouncedTrials::OfDataCentre(told) => {
-            (ReportSource::DataCentre(data_centre.clone()), told)
+        AnnouncedTrials::OfHost(announced) => (ReportSource::Host(host.clone()), announced),
+        AnnouncedTrials::OfDataCentre(announced) => {
+            (ReportSource::DataCentre(data_centre.clone()), announced)
         }
     };
-    if !told.is_empty() {
-        shared.rollout_evidence(|evidences| evidences.receive(now, teller, told));
+    if !announced.is_empty() {
+        shared.rollout_evidence(|evidences| evidences.receive(now, source, announced));
     }
 }
 
 /// What a host of `data_centre` that was not known is told at once: who reads the log, some hosts of the
 /// other data centres, and, if it has just started, those of its own.
-fn answer(
+fn introduction(
     shared: &Shared,
     now: Time,
     data_centre: &DataCentre,
-    acquaintance: Acquaintance,
+    sender: Acquaintance,
 ) -> Datagram {
-    let mut datagram = own_datagram(shared, now).log_only();
+    let mut datagram = local_datagram(shared, now).log_only();
     shared.peers(|peers| {
         datagram.introduced = peers.introductions(now, data_centre);
-        if acquaintance.has_started {
+        if sender.has_started {
             datagram.hosts = peers.neighbours_of(now, data_centre);
         }
     });
@@ -192,7 +193,7 @@
 
 /// How far a host has read the upstreams, and what changed of late.
 #[derive(Clone, Copy)]
-struct ToldPosition<'a> {
+struct AnnouncedPosition<'a> {
     host: &'a HostId,
     position: Position,
     digest: u64,
@@ -201,25 +202,25 @@
 }
 
 /// Takes the changes that a reader tells. True if it must know of more.
-fn take_changes(shared: &Shared, now: Time, told: ToldPosition<'_>) -> bool {
+fn apply_changes(shared: &Shared, now: Time, announced: AnnouncedPosition<'_>) -> bool {
     let own_position = shared.directory(|directory| directory.position());
-    if told.position <= own_position {
+    if announced.position <= own_position {
         return false;
     }
     let mut changes = Vec::new();
     let same = shared.directory(|directory| {
-        for change in told.changes {
+        for change in announced.changes {
             let taken = directory.take(now, change);
             changes.extend(taken);
         }
-        let same = directory.digest() == told.digest;
+        let same = directory.digest() == announced.digest;
         if same {
-            directory.advance(told.position);
+            directory.advance(announced.position);
         }
         same
     });
-    shared.record_changes(changes, ChangeSource::Peer(told.host.as_str()));
-    !same && !told.has_more_changes
+    shared.record_changes(changes, ChangeSource::Peer(announced.host.as_str()));
+    !same && !announced.has_more_changes
 }
 
 /// Gives the own reading of the log, or the next datagram, a moment before a peer is asked. Hosts that
@@ -227,15 +228,15 @@
 /// can't serve yet asks at once.
 fn fetch_wait(shared: &Shared) -> Duration {
     if shared.is_reading(Topic::Operator) {
-        OWN_READING_FIRST
+        OWN_READ_GRACE
     } else if shared.is_ready() {
         let hosts = u32::try_from(shared.live_hosts()).unwrap_or(u32::MAX);
-        let spread = LISTENER_SPREAD.max(LISTENER_SPREAD_PER_HOST.saturating_mul(hosts));
-        spread.min(LISTENER_SPREAD_MAX).mul_f64(rand::random())
+        let jitter = FETCH_JITTER_MIN.max(FETCH_JITTER_PER_HOST.saturating_mul(hosts));
+        jitter.min(FETCH_JITTER_MAX).mul_f64(rand::random())
     } else {
         let now = shared.now();
         let near = shared.peers(|peers| peers.count_near(now));
-        let spread = START_SPREAD_PER_HOST * u32::try_from(near).unwrap_or(u32::MAX);
-        spread.mul_f64(rand::random())
+        let jitter = START_JITTER_PER_HOST * u32::try_from(near).unwrap_or(u32::MAX);
+        jitter.mul_f64(rand::random())
     }
 }
--- a/src/gateway/gossip/spread.rs
+++ b/src/gateway/gossip/relay.rs
@@ -21,43 +21,43 @@
 use crate::gateway::shared::Shared;
 
 /// Datagrams that a reader sends at once.
-const DIRECT_MAX: usize = 300;
+const DIRECT_DATAGRAMS_MAX: usize = 300;
 /// Upstreams that came of which a reader tells along trees
-const LISTED_MAX: usize = 200;
+const RELAYED_LISTINGS_MAX: usize = 200;
 /// in this time.
-const COUNTED_FOR: Duration = Duration::from_secs(1);
+const LISTINGS_WINDOW: Duration = Duration::from_secs(1);
 /// A tree over more hosts than any data centre has is no deeper.
 const HOPS_MAX: u8 = 8;
 
 /// What this host has sent along trees.
 #[derive(Debug, Default)]
-pub(super) struct Spread {
-    told: Position,
+pub(super) struct ChangeRelay {
+    sent_position: Position,
     /// When it began to count what it sent of upstreams that came,
-    counted_from: Time,
+    window_start: Time,
     /// and how many that were.
-    listed: usize,
+    listings: usize,
 }
 
-impl Spread {
+impl ChangeRelay {
     /// Keeps what leaves, and of what comes as much as a second has room for. Who hears of a position without the changes
     /// fetches them, hundreds at once.
-    fn leave_out_listed(&mut self, now: Time, changes: &mut Vec<Change>) {
-        if now.since(self.counted_from) >= COUNTED_FOR {
-            self.counted_from = now;
-            self.listed = 0;
+    fn limit_listings(&mut self, now: Time, changes: &mut Vec<Change>) {
+        if now.since(self.window_start) >= LISTINGS_WINDOW {
+            self.window_start = now;
+            self.listings = 0;
         }
         changes.retain(|change| match change.news {
             News::Leaving(_) | News::Removed(_) => true,
             News::Listed(_) => {
-                self.listed += 1;
-                self.listed <= LISTED_MAX
+                self.listings += 1;
+                self.listings <= RELAYED_LISTINGS_MAX
             }
         });
     }
 
     /// Sends what changed since it last did, if it is more than this host tells all by itself. Whether it was.
-    pub(super) async fn send_new(&mut self, shared: &Shared, socket: &UdpSocket) -> bool {
+    pub(super) async fn send_changes(&mut self, shared: &Shared, socket: &UdpSocket) -> bool {
         if !shared.is_reading(Topic::Upstreams) {
             return false;
         }
@@ -66,17 +66,17 @@
             let changes = directory.recent(now);
             (directory.position(), directory.digest(), changes)
         });
-        if !is_much(shared, &changes) {
+        if !is_needed(shared, &changes) {
             return false;
         }
-        let told = std::mem::replace(&mut self.told, position);
-        changes.retain(|change| change.position >= told);
-        self.leave_out_listed(now, &mut changes);
+        let sent = std::mem::replace(&mut self.sent_position, position);
+        changes.retain(|change| change.position >= sent);
+        self.limit_listings(now, &mut changes);
         let roots = shared.peers(|peers| peers.relay_roots(now));
         let chunks = changes.chunks(PART_CHANGES_MAX);
         let count = chunks.len();
         for (index, changes) in chunks.enumerate() {
-            let near = AnnouncedChanges {
+            let local = AnnouncedChanges {
                 root: shared.gossip_address(),
                 hops_left: HOPS_MAX,
                 host: shared.settings().host.clone(),
@@ -86,13 +86,13 @@
                 changes: changes.to_vec(),
                 has_more_changes: index + 1 < count,
             };
-            pass_on(shared, now, socket, &near).await;
+            forward(shared, now, socket, &local).await;
             for root in &roots {
-                let far = AnnouncedChanges {
+                let remote = AnnouncedChanges {
                     root: *root,
-                    ..near.clone()
+                    ..local.clone()
                 };
-                send(socket, &far.encode(), &[*root]).await;
+                send(socket, &remote.encode(), &[*root]).await;
             }
         }
         true
@@ -100,25 +100,25 @@
 }
 
 /// Whether changes are too many for one host to tell all others.
-pub(super) fn is_much(shared: &Shared, changes: &[Change]) -> bool {
+pub(super) fn is_needed(shared: &Shared, changes: &[Change]) -> bool {
     let parts = changes.len().div_ceil(PART_CHANGES_MAX);
-    parts * shared.live_hosts() > DIRECT_MAX
+    parts * shared.live_hosts() > DIRECT_DATAGRAMS_MAX
 }
 
 /// Sends changes to the hosts behind this one in the tree of its data centre.
-pub(super) async fn pass_on(
+pub(super) async fn forward(
     shared: &Shared,
     now: Time,
     socket: &UdpSocket,
-    told: &AnnouncedChanges,
+    announced: &AnnouncedChanges,
 ) {
-    let Some(hops_left) = told.hops_left.checked_sub(1) else {
+    let Some(hops_left) = announced.hops_left.checked_sub(1) else {
         return;
     };
-    let behind = shared.peers(|peers| peers.behind(now, told.root));
-    let told = AnnouncedChanges {
+    let children = shared.peers(|peers| peers.behind(now, announced.root));
+    let announced = AnnouncedChanges {
         hops_left,
-        ..told.clone()
+        ..announced.clone()
     };
-    send(socket, &told.encode(), &behind).await;
+    send(socket, &announced.encode(), &children).await;
 }
--- a/src/gateway/gossip/far.rs
+++ b/src/gateway/gossip/remote.rs
@@ -5,7 +5,7 @@
 
 use tokio::net::UdpSocket;
 
-use super::own_datagram;
+use super::local_datagram;
 use super::send;
 use super::send_parts;
 use crate::clock::Time;
@@ -23,133 +23,133 @@
 /// data centres are priced, and what they tell of is believed for 4 s.
 pub(crate) const REMOTE_INTERVAL: Duration = Duration::from_millis(1_800);
 /// Rounds come a little sooner or later than their interval: what is due in each has this part of it.
-const EACH_ROUND: f64 = 0.9;
+const DUE_INTERVAL_SHARE: f64 = 0.9;
 
 /// When other data centres were last sent to.
 #[derive(Debug, Default)]
-pub(super) struct FarRounds {
+pub(super) struct RemoteRounds {
     /// Some hosts of each, what the whole data centre runs.
-    last: Option<Time>,
+    summary_sent_at: Option<Time>,
     /// All hosts, by a host that reads the upstreams for all.
-    last_of_reader: Option<Time>,
+    reader_sent_at: Option<Time>,
     was_moving: bool,
     /// The log's position up to which this host had told of upstreams.
-    told_upstreams: Position,
+    announced_upstreams: Position,
     /// What was last told to other data centres of what this host runs there, and when.
-    told_visits: BTreeMap<DataCentre, (Time, Vec<(InstanceKey, Load)>)>,
+    announced_loads: BTreeMap<DataCentre, (Time, Vec<(InstanceKey, Load)>)>,
     /// Up to when it had told of requests under which it saw upstreams crash.
-    told_suspects: Time,
+    suspects_sent_at: Time,
     /// What it had told of roll-outs.
-    told_rollouts: u64,
+    announced_rollouts: u64,
 }
 
-impl FarRounds {
+impl RemoteRounds {
     /// Whether the time has come to tell of the data centre.
-    fn is_due(&mut self, now: Time) -> bool {
+    fn is_summary_due(&mut self, now: Time) -> bool {
         let is_due = self
-            .last
+            .summary_sent_at
             .is_none_or(|last| now.since(last) >= REMOTE_INTERVAL);
         if is_due {
-            self.last = Some(now);
+            self.summary_sent_at = Some(now);
         }
         is_due
     }
 
     /// Whether there is something to tell of turns, be it that nothing is left to move.
-    fn tells_turns(&mut self, is_moving: bool) -> bool {
+    fn has_moves(&mut self, is_moving: bool) -> bool {
         std::mem::replace(&mut self.was_moving, is_moving) || is_moving
     }
 
     /// Whether this host learnt something of roll-outs since the round before that no other host has told.
-    fn tells_rollouts(&mut self, shared: &Shared) -> bool {
-        let news = shared.directory(|directory| directory.rollouts().local_changes());
-        std::mem::replace(&mut self.told_rollouts, news) != news
+    fn has_rollout_changes(&mut self, shared: &Shared) -> bool {
+        let changes = shared.directory(|directory| directory.rollouts().local_changes());
+        std::mem::replace(&mut self.announced_rollouts, changes) != changes
     }
 
     /// What is to be told to other data centres of what this host runs there: what changed, what was told a while
     /// ago, and once that nothing is left.
-    fn visits_due(
+    fn due_loads(
         &mut self,
         shared: &Shared,
         now: Time,
     ) -> BTreeMap<DataCentre, Vec<(InstanceKey, Load)>> {
-        let mut visits = shared.own_remote_loads();
-        for data_centre in self.told_visits.keys() {
-            visits.entry(data_centre.clone()).or_default();
+        let mut due = shared.own_remote_loads();
+        for data_centre in self.announced_loads.keys() {
+            due.entry(data_centre.clone()).or_default();
         }
-        visits.retain(|data_centre, loads| {
-            let told = self.told_visits.get(data_centre);
-            told.is_none_or(|(at, told)| told != loads || now.since(*at) >= REMOTE_INTERVAL)
+        due.retain(|data_centre, loads| {
+            let sent = self.announced_loads.get(data_centre);
+            sent.is_none_or(|(at, sent)| sent != loads || now.since(*at) >= REMOTE_INTERVAL)
         });
-        for (data_centre, loads) in &visits {
+        for (data_centre, loads) in &due {
             let was_empty = self
-                .told_visits
+                .announced_loads
                 .insert(data_centre.clone(), (now, loads.clone()))
-                .is_none_or(|(_, told)| told.is_empty());
+                .is_none_or(|(_, sent)| sent.is_empty());
             if loads.is_empty() && was_empty {
-                self.told_visits.remove(data_centre);
+                self.announced_loads.remove(data_centre);
             }
         }
-        visits
+        due
     }
 
     /// What this host has seen since the round before of requests under which upstreams crash.
     fn new_suspects(&mut self, shared: &Shared, now: Time) -> Vec<AnnouncedSuspect> {
-        let since = std::mem::replace(&mut self.told_suspects, now);
+        let since = std::mem::replace(&mut self.suspects_sent_at, now);
         shared.suspects(|suspects| suspects.observed_since(now, since))
     }
 
     /// Whether this host reads the upstreams for all, and the others must hear that it does, or what has
     /// changed.
-    fn is_due_of_reader(&mut self, shared: &Shared, now: Time, datagram: &Datagram) -> bool {
+    fn is_reader_due(&mut self, shared: &Shared, now: Time, datagram: &Datagram) -> bool {
         let upstreams = datagram.upstreams;
-        let is_later = std::mem::replace(&mut self.told_upstreams, upstreams) != upstreams;
-        let has_news = is_later && !datagram.changes.is_empty();
+        let is_later = std::mem::replace(&mut self.announced_upstreams, upstreams) != upstreams;
+        let has_changes = is_later && !datagram.changes.is_empty();
         if !shared.is_reading(Topic::Upstreams) {
             return false;
         }
-        let interval = shared.reader_interval().mul_f64(EACH_ROUND);
-        let last = self.last_of_reader;
-        let is_due = has_news || last.is_none_or(|last| now.since(last) >= interval);
+        let interval = shared.reader_interval().mul_f64(DUE_INTERVAL_SHARE);
+        let last = self.reader_sent_at;
+        let is_due = has_changes || last.is_none_or(|last| now.since(last) >= interval);
         if is_due {
-            self.last_of_reader = Some(now);
+            self.reader_sent_at = Some(now);
         }
         is_due
     }
 }
 
 /// Tells the other data centres of a large fleet what is due.
-pub(super) async fn send_far(
+pub(super) async fn send_due(
     shared: &Shared,
     socket: &UdpSocket,
-    far: &mut FarRounds,
+    rounds: &mut RemoteRounds,
     datagram: &Datagram,
 ) {
     let now = shared.now();
-    if far.tells_turns(!datagram.moving.is_empty()) {
+    if rounds.has_moves(!datagram.moving.is_empty()) {
         let targets = shared.peers(|peers| peers.all_outside());
         send(socket, &encode(datagram.moves_only()), &targets).await;
     }
     // A repeat may go to any host next, and what a host tells its own data centre first is heard in
     // others 1.8 s later.
-    let suspects = far.new_suspects(shared, now);
+    let suspects = rounds.new_suspects(shared, now);
     if !suspects.is_empty() {
-        let all = shared.peers(|peers| peers.all_outside());
-        send(socket, &encode(datagram.suspects_only(suspects)), &all).await;
+        let targets = shared.peers(|peers| peers.all_outside());
+        send(socket, &encode(datagram.suspects_only(suspects)), &targets).await;
     }
-    if far.tells_rollouts(shared) {
-        let all = shared.peers(|peers| peers.all_outside());
-        send(socket, &encode(datagram.moves_only()), &all).await;
+    if rounds.has_rollout_changes(shared) {
+        let targets = shared.peers(|peers| peers.all_outside());
+        send(socket, &encode(datagram.moves_only()), &targets).await;
     }
-    if far.is_due_of_reader(shared, now, datagram) {
-        let all = shared.peers(|peers| peers.all_outside());
-        send_parts(socket, datagram.log_only(), &all).await;
+    if rounds.is_reader_due(shared, now, datagram) {
+        let targets = shared.peers(|peers| peers.all_outside());
+        send_parts(socket, datagram.log_only(), &targets).await;
     }
-    for (data_centre, loads) in far.visits_due(shared, now) {
-        let visited = shared.peers(|peers| peers.hosts_visited(&data_centre));
-        send(socket, &encode(datagram.with_remote_loads(loads)), &visited).await;
+    for (data_centre, loads) in rounds.due_loads(shared, now) {
+        let targets = shared.peers(|peers| peers.hosts_visited(&data_centre));
+        send(socket, &encode(datagram.with_remote_loads(loads)), &targets).await;
     }
-    if far.is_due(now) {
+    if rounds.is_summary_due(now) {
         let partners = shared.peers(|peers| peers.far_partners(now));
         for (data_centre, partners) in partners {
             let loads = shared.local_loads(&data_centre);
@@ -161,15 +161,15 @@
 }
 
 /// Asks other data centres whose words are old what runs at their upstreams.
-pub(super) async fn ask(shared: &Shared, socket: &UdpSocket) {
+pub(super) async fn query_loads(shared: &Shared, socket: &UdpSocket) {
     let now = shared.now();
     let data_centres = shared.data_centres_to_query(now);
     if data_centres.is_empty() {
         return;
     }
-    let asking = encode(own_datagram(shared, now).to_load_query());
+    let query = encode(local_datagram(shared, now).to_load_query());
     for data_centre in data_centres {
-        let asked = shared.peers(|peers| peers.hosts_asked(now, &data_centre));
-        send(socket, &asking, &asked).await;
+        let targets = shared.peers(|peers| peers.hosts_asked(now, &data_centre));
+        send(socket, &query, &targets).await;
     }
 }
--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -22,27 +22,27 @@
 use crate::gateway::shared::Shared;
 
 /// Between two rounds of asking seeds.
-const SEED_PAUSE: Duration = Duration::from_millis(300);
+const SEED_INTERVAL: Duration = Duration::from_millis(300);
 /// Before the first such round: seeds that start at the same time have read the log by then.
-const SEED_FIRST_PAUSE: Duration = Duration::from_millis(100);
+const SEED_DELAY: Duration = Duration::from_millis(100);
 /// Seeds are asked within this time for each host that is told of.
-const SEED_SPREAD_PER_HOST: Duration = Duration::from_millis(1);
+const SEED_JITTER_PER_HOST: Duration = Duration::from_millis(1);
 /// Between two tries to connect to seeds.
-const REACH_PAUSE: Duration = Duration::from_millis(40);
+const CONNECT_INTERVAL: Duration = Duration::from_millis(40);
 /// Tries after which seeds that can't be connected to count as away: those that start with this host
 /// listen by then.
-const REACH_TRIES: u32 = 2;
+const CONNECT_ATTEMPTS: u32 = 2;
 /// A seed that answers the connection is there within this time: a few round trips of the farthest
 /// data centre.
-const REACH_TIMEOUT: Duration = Duration::from_millis(120);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// A request that comes while the host knows nothing yet waits for so long at most: a start takes a
 /// tenth of that where the log answers.
-const START_PATIENCE: Duration = Duration::from_millis(400);
+const START_WAIT_MAX: Duration = Duration::from_millis(400);
 /// and for no more than this part of the time that its caller gives it.
-const START_PATIENCE_SHARE: f64 = 0.25;
+const START_WAIT_SHARE: f64 = 0.25;
 
 /// How often a request that waits looks whether the host knows what changed while it was suspended.
-const WAKING_CHECK: Duration = Duration::from_millis(20);
+const RESUME_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Whether seeds can be connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -72,37 +72,38 @@
     seeds.retain(|seed| *seed != own);
     // Hosts that start together don't all ask the same one first.
     seeds.shuffle(&mut rand::rng());
-    let asks_from = Instant::now() + SEED_FIRST_PAUSE;
-    let state = reach(&seeds).await;
+    let query_from = Instant::now() + SEED_DELAY;
+    let state = probe_seeds(&seeds).await;
     shared.set_seed_state(state);
-    let line = shared.log().line(EventCode::SeedsTried);
-    line.with("seeds", seeds.len())
+    let entry = shared.log().line(EventCode::SeedsTried);
+    entry
+        .with("seeds", seeds.len())
         .with("outcome", state.name())
         .write();
-    tokio::time::sleep_until(asks_from).await;
+    tokio::time::sleep_until(query_from).await;
     while !shared.is_ready() {
         // The more hosts there are, the later each asks, and those that others have told by then don't.
-        let spread = SEED_SPREAD_PER_HOST * shared.fleet_size_estimate();
-        tokio::time::sleep(spread.mul_f64(rand::random())).await;
-        if !shared.is_reading(Topic::Operator) && !hears_all(&shared) {
-            ask_each(&shared, &seeds).await;
+        let jitter = SEED_JITTER_PER_HOST * shared.fleet_size_estimate();
+        tokio::time::sleep(jitter.mul_f64(rand::random())).await;
+        if !shared.is_reading(Topic::Operator) && !has_live_holders(&shared) {
+            query_each(&shared, &seeds).await;
         }
-        tokio::time::sleep(SEED_PAUSE).await;
+        tokio::time::sleep(SEED_INTERVAL).await;
     }
 }
 
 /// Whether hosts are heard that know all that a host needs.
-fn hears_all(shared: &Shared) -> bool {
+fn has_live_holders(shared: &Shared) -> bool {
     let now = shared.now();
     let topics = [Topic::Operator, Topic::Upstreams];
     shared.peers(|peers| topics.iter().all(|topic| peers.hears_holder(now, *topic)))
 }
 
-async fn reach(seeds: &[SocketAddr]) -> SeedState {
-    for _ in 0..REACH_TRIES {
-        tokio::time::sleep(REACH_PAUSE).await;
-        let tries = seeds.iter().map(|seed| can_connect(*seed));
-        if join_all(tries).await.contains(&true) {
+async fn probe_seeds(seeds: &[SocketAddr]) -> SeedState {
+    for _ in 0..CONNECT_ATTEMPTS {
+        tokio::time::sleep(CONNECT_INTERVAL).await;
+        let attempts = seeds.iter().map(|seed| can_connect(*seed));
+        if join_all(attempts).await.contains(&true) {
             return SeedState::Reachable;
         }
     }
@@ -112,18 +113,18 @@
 async fn can_connect(seed: SocketAddr) -> bool {
     let connecting = TcpStream::connect(seed);
     matches!(
-        tokio::time::timeout(REACH_TIMEOUT, connecting).await,
+        tokio::time::timeout(CONNECT_TIMEOUT, connecting).await,
         Ok(Ok(_))
     )
 }
 
 /// Asks one seed after another until the host can serve.
-async fn ask_each(shared: &Shared, seeds: &[SocketAddr]) {
+async fn query_each(shared: &Shared, seeds: &[SocketAddr]) {
     for seed in seeds {
         if shared.is_ready() {
             return;
         }
-        if let Err(error) = ask_seed(shared, *seed).await {
+        if let Err(error) = query_seed(shared, *seed).await {
             log::debug!("seed {seed}: {error}");
         }
     }
@@ -131,14 +132,14 @@
 
 /// Asks a seed for what is in force. A seed that serves its configuration to others tells of the upstreams
 /// all the same.
-async fn ask_seed(shared: &Shared, seed: SocketAddr) -> Result<()> {
-    let configuration = ask_seed_for_configuration(shared, seed).await;
+async fn query_seed(shared: &Shared, seed: SocketAddr) -> Result<()> {
+    let configuration = fetch_configuration(shared, seed).await;
     peerfetch::fetch_from_seed(shared, seed).await?;
     configuration
 }
 
 /// Nothing is done while the configuration is being fetched from another host.
-async fn ask_seed_for_configuration(shared: &Shared, seed: SocketAddr) -> Result<()> {
+async fn fetch_configuration(shared: &Shared, seed: SocketAddr) -> Result<()> {
     if !shared.peers(|peers| peers.begin_fetch(Fetch::Configuration)) {
         return Ok(());
     }
@@ -154,7 +155,7 @@
         return;
     }
     let age = Duration::from_micros(shared.now().as_us());
-    let until = Instant::now() + patience(age, timeout);
+    let until = Instant::now() + wait_limit(age, timeout);
     let mut news = shared.watch_announcements();
     while !shared.is_initialized() && Instant::now() < until {
         tokio::select! {
@@ -167,20 +168,20 @@
 /// Keeps a request of a caller who gives it `timeout` while the host has just woken from a suspension. Whether it
 /// knows by then what changed meanwhile.
 pub(crate) async fn wait_until_resumed(shared: &Shared, timeout: Duration) -> bool {
-    let until = Instant::now() + patience(Duration::ZERO, timeout);
+    let until = Instant::now() + wait_limit(Duration::ZERO, timeout);
     while shared.is_resuming() && Instant::now() < until {
-        tokio::time::sleep(WAKING_CHECK).await;
+        tokio::time::sleep(RESUME_CHECK_INTERVAL).await;
     }
     !shared.is_resuming()
 }
 
 /// How long a request waits at a host of this age.
-fn patience(age: Duration, timeout: Duration) -> Duration {
-    let left = START_PATIENCE.saturating_sub(age);
-    if timeout > START_PATIENCE.mul_f64(1.0 / START_PATIENCE_SHARE) {
+fn wait_limit(age: Duration, timeout: Duration) -> Duration {
+    let left = START_WAIT_MAX.saturating_sub(age);
+    if timeout > START_WAIT_MAX.mul_f64(1.0 / START_WAIT_SHARE) {
         return left;
     }
-    left.min(timeout.mul_f64(START_PATIENCE_SHARE))
+    left.min(timeout.mul_f64(START_WAIT_SHARE))
 }
 
 #[cfg(test)]
--- a/src/gateway/joining/tests.rs
+++ b/src/gateway/joining/tests.rs
@@ -2,10 +2,10 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use super::START_PATIENCE;
+use super::START_WAIT_MAX;
 use super::SeedState;
-use super::patience;
-use super::reach;
+use super::probe_seeds;
+use super::wait_limit;
 
 /// An address at which nobody listens.
 fn closed_address() -> SocketAddr {
@@ -15,8 +15,11 @@
 
 #[actix_rt::test]
 async fn seeds_that_nobody_can_connect_to_are_away() {
-    assert_eq!(reach(&[closed_address()]).await, SeedState::Unreachable);
-    assert_eq!(reach(&[]).await, SeedState::Unreachable);
+    assert_eq!(
+        probe_seeds(&[closed_address()]).await,
+        SeedState::Unreachable
+    );
+    assert_eq!(probe_seeds(&[]).await, SeedState::Unreachable);
 }
 
 #[actix_rt::test]
@@ -24,17 +27,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let seeds = [closed_address(), listener.local_addr().unwrap()];
 
-    assert_eq!(reach(&seeds).await, SeedState::Reachable);
+    assert_eq!(probe_seeds(&seeds).await, SeedState::Reachable);
 }
 
 #[test]
 fn a_request_waits_at_a_young_host_only_and_for_a_part_of_its_time() {
     let day = Duration::from_secs(86_400);
-    assert_eq!(patience(Duration::ZERO, day), START_PATIENCE);
-    assert_eq!(patience(START_PATIENCE, day), Duration::ZERO);
+    assert_eq!(wait_limit(Duration::ZERO, day), START_WAIT_MAX);
+    assert_eq!(wait_limit(START_WAIT_MAX, day), Duration::ZERO);
     assert_eq!(
-        patience(Duration::ZERO, Duration::from_millis(800)),
+        wait_limit(Duration::ZERO, Duration::from_millis(800)),
         Duration::from_millis(200)
     );
-    assert_eq!(patience(Duration::ZERO, Duration::MAX), START_PATIENCE);
+    assert_eq!(wait_limit(Duration::ZERO, Duration::MAX), START_WAIT_MAX);
 }
--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -274,7 +274,7 @@
     let mut many = datagram(1, "north");
     many.changes = (0..45).map(change).collect();
 
-    let parts = many.into_parts();
+    let parts = many.split();
 
     let sizes = parts.iter().map(|part| encode(part.clone()).len());
     assert!(sizes.max().unwrap() <= 1_400);
