--- a/src/gateway/peers/tests.rs
+++ b/src/gateway/peers/tests.rs
@@ -12,8 +12,8 @@
 use super::Peers;
 use super::Recipients;
 use crate::clock::Time;
+use crate::gateway::datagram::AnnouncedLoads;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::datagram::ToldLoads;
 use crate::gateway::datagram::decode;
 use crate::gateway::datagram::encode;
 use crate::gateway::directory::Change;
@@ -43,8 +43,8 @@
         config: 3,
         upstreams: 10.into(),
         peer_port: 8000,
-        loads: ToldLoads::OfHost(Vec::new()),
-        ..Datagram::of(host(index), DataCentre::new(data_centre))
+        loads: AnnouncedLoads::OfHost(Vec::new()),
+        ..Datagram::new(host(index), DataCentre::new(data_centre))
     }
 }
 
@@ -115,13 +115,13 @@
         let upstream = InstanceId::from(UpstreamId::new(format!("i-{index:08}")));
         (upstream.key(), load)
     });
-    large.loads = ToldLoads::OfHost(loads.collect());
+    large.loads = AnnouncedLoads::OfHost(loads.collect());
 
     let bytes = encode(large);
     let kept = decode(&bytes).unwrap();
 
     assert!(bytes.len() <= 1_400, "{}", bytes.len());
-    let ToldLoads::OfHost(kept) = kept.loads else {
+    let AnnouncedLoads::OfHost(kept) = kept.loads else {
         panic!("the host's own loads");
     };
     let least = 200 - kept.len() as u32;
@@ -278,7 +278,7 @@
     let mut many = datagram(1, "north");
     many.changes = (0..45).map(change).collect();
 
-    let parts = many.into_parts();
+    let parts = many.split();
 
     let sizes = parts.iter().map(|part| encode(part.clone()).len());
     assert!(sizes.max().unwrap() <= 1_400);
@@ -343,9 +343,9 @@
     let announced = datagram(1, "north");
 
     let of_loads = [
-        announced.of_visitor(Vec::new()),
-        announced.that_asks(),
-        announced.that_answers(Vec::new()),
+        announced.with_remote_loads(Vec::new()),
+        announced.to_load_query(),
+        announced.to_load_answer(Vec::new()),
     ];
 
     for datagram in of_loads {
--- a/src/gateway/peers/tests/fleet.rs
+++ b/src/gateway/peers/tests/fleet.rs
@@ -11,8 +11,8 @@
 
 use crate::clock::Time;
 use crate::gateway::datagram::Datagram;
-use crate::gateway::gossip::FAR_INTERVAL;
-use crate::gateway::gossip::interval_among;
+use crate::gateway::gossip::REMOTE_INTERVAL;
+use crate::gateway::gossip::round_interval;
 use crate::gateway::peers::Peers;
 use crate::gateway::peers::Recipients;
 use crate::id::DataCentre;
@@ -84,7 +84,7 @@
                 return;
             }
             self.round(now, index);
-            let next = now + interval_among(self.hosts[index].peers.count_local(now));
+            let next = now + round_interval(self.hosts[index].peers.count_local(now));
             self.due.push(Reverse((next, index)));
         }
     }
@@ -102,7 +102,7 @@
             targets.partition(|target| host.peers.is_unconfirmed(target));
         let is_remote_due = host
             .last_remote
-            .is_none_or(|last| now.since(last) >= FAR_INTERVAL);
+            .is_none_or(|last| now.since(last) >= REMOTE_INTERVAL);
         let far = match !is_small && is_remote_due {
             true => {
                 host.last_remote = Some(now);
@@ -112,9 +112,9 @@
             false => Vec::new(),
         };
         let datagram = host.announce(now);
-        self.send(now, index, &unconfirmed, &datagram.that_introduces());
+        self.send(now, index, &unconfirmed, &datagram.with_host_request());
         self.send(now, index, &confirmed, &datagram);
-        let remote_datagram = datagram.of_data_centre(Vec::new(), Vec::new());
+        let remote_datagram = datagram.with_summary(Vec::new(), Vec::new());
         self.send(now, index, &far, &remote_datagram);
     }
 
