--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -91,7 +91,7 @@
             Delivery::Unreachable => (self.check_time_limit(admitted), None),
             Delivery::Sent => self.take_retry(shared, &admitted.service, hosts),
         };
-        let entry = admitted.line(shared, EventCode::RequestRestarted);
+        let entry = admitted.log_entry(shared, EventCode::RequestRestarted);
         entry
             .with_some("upstream", self.upstreams.last().map(InstanceId::as_str))
             .with("reason", reason)
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -29,7 +29,7 @@
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::route::RouteKind;
 use crate::gateway::serve::Admitted;
-use crate::gateway::serve::Front;
+use crate::gateway::serve::WorkerState;
 use crate::gateway::shared::Shared;
 use crate::refusal::Code;
 use crate::refusal::Refusal;
@@ -85,7 +85,7 @@
 }
 
 /// Calls upstreams until one answers.
-pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
+pub async fn run(front: &WorkerState, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
     shared.retry_budget(&admitted.service, |budget| budget.record_request(now));
@@ -105,7 +105,8 @@
         if let Some(refusal) = shared.refuse_suspect(&admitted) {
             return held_back(shared, &admitted, may_have_run, refusal);
         }
-        let Some(candidate) = admitted.place(shared, Need::Slot, tries.upstreams()) else {
+        let Some(candidate) = admitted.choose_upstream(shared, Need::Slot, tries.upstreams())
+        else {
             return exhausted(shared, &admitted, may_have_run, tries.len(), failure);
         };
         let upstream = candidate.upstream;
@@ -167,7 +168,12 @@
 }
 
 /// Sends the request to one upstream.
-async fn attempt(front: &Front, admitted: &Admitted, upstream: &Upstream, last: bool) -> Attempted {
+async fn attempt(
+    front: &WorkerState,
+    admitted: &Admitted,
+    upstream: &Upstream,
+    last: bool,
+) -> Attempted {
     let shared = &front.shared;
     shared.record_send(upstream);
     let _occupied = shared.loads().add_request(&upstream.id, 0, 0);
@@ -184,7 +190,7 @@
     }
 }
 
-async fn call_upstream(front: &Front, admitted: &Admitted, upstream: &Upstream) -> Attempted {
+async fn call_upstream(front: &WorkerState, admitted: &Admitted, upstream: &Upstream) -> Attempted {
     let pooled = match admitted.route.kind {
         RouteKind::Idempotent => front.pool.borrow_mut().take(&upstream.id),
         RouteKind::Once | RouteKind::Stream => None,
@@ -264,7 +270,7 @@
         return failed(shared, admitted, upstream, &reason);
     }
     telemetry::record_call(&admitted.service, status, admitted.arrived.elapsed());
-    let line = admitted.line(shared, EventCode::RequestComplete);
+    let line = admitted.log_entry(shared, EventCode::RequestComplete);
     line.with("upstream", upstream.id.as_str())
         .with("status", status)
         .with("sends", sends)
--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -38,8 +38,8 @@
 use crate::gateway::peerfetch::fetch_later;
 use crate::gateway::peers::Fetch;
 use crate::gateway::protocol::OwnCall;
-use crate::gateway::serving::Serving;
 use crate::gateway::shared::Shared;
+use crate::gateway::transferguard::TransferGuard;
 use crate::telemetry;
 use crate::telemetry::Metric;
 
@@ -80,7 +80,7 @@
         Ok(Err(error)) => return HttpResponse::BadRequest().body(error.to_string()),
         Err(_) => return HttpResponse::PayloadTooLarge().finish(),
     };
-    let Some(serving) = Serving::begin(shared, Fetch::Configuration) else {
+    let Some(serving) = TransferGuard::begin(shared, Fetch::Configuration) else {
         return HttpResponse::ServiceUnavailable().finish();
     };
     match frames_of(shared, &ids) {
@@ -99,11 +99,11 @@
     frames::decode_ids(ids)?.into_iter().map(frame).collect()
 }
 
-fn stream_frames(frames: Vec<Bytes>, serving: Serving) -> HttpResponse {
+fn stream_frames(frames: Vec<Bytes>, serving: TransferGuard) -> HttpResponse {
     let bytes: usize = frames.iter().map(Bytes::len).sum();
     telemetry::count_by(Metric::PieceBytesServedTotal, bytes as u64);
     let frames = frames.into_iter().map(move |frame| {
-        serving.progressed();
+        serving.record_progress();
         Ok::<Bytes, actix_web::Error>(frame)
     });
     HttpResponse::Ok()
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -34,7 +34,7 @@
 use crate::gateway::protocol::Topic;
 use crate::gateway::rolloutstatus;
 use crate::gateway::serve;
-use crate::gateway::serve::Front;
+use crate::gateway::serve::WorkerState;
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::shared::Shared;
 use crate::gateway::suspectlog;
@@ -204,7 +204,7 @@
     let shared = shared.clone();
     let telemetry = telemetry.clone();
     let factory = move || {
-        let front = Front::new(shared.clone());
+        let front = WorkerState::new(shared.clone());
         actix_rt::spawn(close_idle(front.clone()));
         App::new()
             .app_data(web::Data::new(front))
@@ -236,7 +236,7 @@
 }
 
 async fn by_port(
-    front: web::Data<Front>,
+    front: web::Data<WorkerState>,
     shared: web::Data<Shared>,
     telemetry: web::Data<Telemetry>,
     http: HttpRequest,
@@ -313,7 +313,7 @@
     }
 }
 
-async fn close_idle(front: Front) {
+async fn close_idle(front: WorkerState) {
     loop {
         tick(LAPSE_INTERVAL).await;
         front.pool.borrow_mut().close_idle();
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -32,9 +32,9 @@
 use crate::gateway::position::Position;
 use crate::gateway::protocol::OwnCall;
 use crate::gateway::rollouts::AnnouncedRollout;
-use crate::gateway::serving::Serving;
 use crate::gateway::shared::ChangeSource;
 use crate::gateway::shared::Shared;
+use crate::gateway::transferguard::TransferGuard;
 
 /// zstd's level at which a list of ten thousand upstreams takes a host milliseconds.
 const LEVEL: i32 = 1;
@@ -151,7 +151,7 @@
     let is_small = position.offset.saturating_sub(offset) <= SMALL_CHANGES;
     let serving = match is_small {
         true => None,
-        false => match Serving::begin(shared, Fetch::Upstreams) {
+        false => match TransferGuard::begin(shared, Fetch::Upstreams) {
             Some(serving) => Some(serving),
             None => return HttpResponse::ServiceUnavailable().finish(),
         },
@@ -181,13 +181,13 @@
     Ok(Bytes::from(page))
 }
 
-fn stream_page(page: Bytes, serving: Option<Serving>) -> HttpResponse {
+fn stream_page(page: Bytes, serving: Option<TransferGuard>) -> HttpResponse {
     let Some(serving) = serving else {
         return HttpResponse::Ok().body(page);
     };
     let bytes = page.len();
     let parts = (0..bytes).step_by(PART_BYTES).map(move |from| {
-        serving.progressed();
+        serving.record_progress();
         let to = bytes.min(from + PART_BYTES);
         Ok::<Bytes, actix_web::Error>(page.slice(from..to))
     });
--- a/src/gateway/queue.rs
+++ b/src/gateway/queue.rs
@@ -25,7 +25,7 @@
 use crate::gateway::rollouts::Track;
 use crate::gateway::serve;
 use crate::gateway::serve::Admitted;
-use crate::gateway::serve::Breadth;
+use crate::gateway::serve::CandidateSet;
 use crate::gateway::shared::Shared;
 use crate::gateway::stream;
 use crate::id::CustomerId;
@@ -207,7 +207,7 @@
     let ticket = Ticket::join(shared, admitted, tokens);
     let mut waited = None;
     let mut has_refreshed = false;
-    let mut breadth = Breadth::at_first(shared, &admitted.service);
+    let mut breadth = CandidateSet::initial(shared, &admitted.service);
     let mut reservation: Option<Reservation> = None;
     loop {
         // Another attempt of the same content may crash upstreams during the wait.
@@ -221,9 +221,9 @@
         }
         let mut candidates = serve::candidates(shared, admitted, avoid, breadth);
         if candidates.is_empty() {
-            match std::mem::replace(&mut breadth, Breadth::All) {
-                Breadth::Few => continue,
-                Breadth::All => return Ok(None),
+            match std::mem::replace(&mut breadth, CandidateSet::All) {
+                CandidateSet::Subset => continue,
+                CandidateSet::All => return Ok(None),
             }
         }
         if let Some(reservation) = &reservation {
@@ -237,7 +237,7 @@
         let inputs = DecisionInputs::new(shared, &ticket, &candidates);
         let verdict = inputs.decide(shared, &demand, &candidates);
         let is_sound = matches!(&verdict, Verdict::Start(candidate) if !candidate.unhealthy);
-        if !is_sound && std::mem::replace(&mut breadth, Breadth::All) == Breadth::Few {
+        if !is_sound && std::mem::replace(&mut breadth, CandidateSet::All) == CandidateSet::Subset {
             continue;
         }
         if !has_refreshed && uses_stale_loads(shared, &verdict) {
@@ -357,7 +357,7 @@
     }
 
     fn log(&self, shared: &Shared, admitted: &Admitted, outcome: &str) {
-        let entry = admitted.line(shared, EventCode::RequestQueued);
+        let entry = admitted.log_entry(shared, EventCode::RequestQueued);
         entry
             .with("outcome", outcome)
             .with("ahead_tokens", self.ahead_tokens)
@@ -372,7 +372,7 @@
 
 fn refusal(shared: &Shared, admitted: &Admitted, estimate: WaitEstimate) -> Refusal {
     let left = admitted.time_left();
-    let run = stream::expected_run(shared, admitted);
+    let run = stream::expected_duration(shared, admitted);
     let again = admit::retry_after(left, run, estimate.expected, rand::random());
     let message = format!(
         "room is expected in {} ms, and it can wait {} ms",
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -74,39 +74,39 @@
 
 /// At which upstreams a request looks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breadth {
+pub enum CandidateSet {
     /// A few of the own data centre, where there are many.
-    Few,
+    Subset,
     /// All.
     All,
 }
 
-impl Breadth {
+impl CandidateSet {
     /// At which upstreams of a service a request looks at first.
-    pub fn at_first(shared: &Shared, service: &ServiceId) -> Self {
+    pub fn initial(shared: &Shared, service: &ServiceId) -> Self {
         let here = &shared.settings().data_centre;
         match shared.directory(|directory| directory.count_in(service, here))
             > placement::SUBSET_UPSTREAMS
         {
-            true => Breadth::Few,
-            false => Breadth::All,
+            true => CandidateSet::Subset,
+            false => CandidateSet::All,
         }
     }
 }
 
 /// What one worker's handlers use.
 #[derive(Debug, Clone)]
-pub struct Front {
+pub struct WorkerState {
     /// The host's state.
     pub shared: Shared,
     /// Idle connections to upstreams.
     pub pool: Rc<RefCell<Pool>>,
 }
 
-impl Front {
+impl WorkerState {
     /// The state of one worker thread.
     pub fn new(shared: Shared) -> Self {
-        Front {
+        WorkerState {
             shared,
             pool: Rc::default(),
         }
@@ -159,7 +159,7 @@
     }
 
     /// A log line of this request.
-    pub fn line(&self, shared: &Shared, code: EventCode) -> Line {
+    pub fn log_entry(&self, shared: &Shared, code: EventCode) -> Line {
         let ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
         let line = shared.log().line(code);
         line.with("request", self.id.as_str())
@@ -173,7 +173,7 @@
 
     /// Refuses or fails the request; writes the line that says why.
     pub fn refuse(&self, shared: &Shared, refusal: &Refusal) -> HttpResponse {
-        let line = self.line(shared, EventCode::RequestRefused);
+        let line = self.log_entry(shared, EventCode::RequestRefused);
         line.with("code", refusal.code.name())
             .with("ran", format!("{:?}", refusal.ran))
             .with("message", refusal.message.as_str())
@@ -200,13 +200,18 @@
     }
 
     /// Chooses an upstream for `need`, but none of `avoid`.
-    pub fn place(&self, shared: &Shared, need: Need, avoid: &[InstanceId]) -> Option<Candidate> {
+    pub fn choose_upstream(
+        &self,
+        shared: &Shared,
+        need: Need,
+        avoid: &[InstanceId],
+    ) -> Option<Candidate> {
         let chosen = |breadth| choose(shared, need, &candidates(shared, self, avoid, breadth));
-        match Breadth::at_first(shared, &self.service) {
-            Breadth::All => chosen(Breadth::All),
-            Breadth::Few => chosen(Breadth::Few)
+        match CandidateSet::initial(shared, &self.service) {
+            CandidateSet::All => chosen(CandidateSet::All),
+            CandidateSet::Subset => chosen(CandidateSet::Subset)
                 .filter(|candidate| !candidate.unhealthy)
-                .or_else(|| chosen(Breadth::All)),
+                .or_else(|| chosen(CandidateSet::All)),
         }
     }
 }
@@ -222,14 +227,14 @@
     shared: &Shared,
     admitted: &Admitted,
     avoid: &[InstanceId],
-    breadth: Breadth,
+    breadth: CandidateSet,
 ) -> Vec<Candidate> {
     let now = shared.now();
     let track = admitted.track.get();
     let service = &admitted.service;
     let here = &shared.settings().data_centre;
     let (mut ready, any_cold) = shared.directory(|directory| {
-        let within = (breadth == Breadth::Few).then_some(here);
+        let within = (breadth == CandidateSet::Subset).then_some(here);
         let ready = directory.ready_for(service, track, within);
         let ready = match within {
             Some(_) => placement::subset(ready, &shared.settings().host),
@@ -288,7 +293,7 @@
 
 /// Serves one request of a caller.
 pub async fn serve(
-    front: web::Data<Front>,
+    front: web::Data<WorkerState>,
     http: HttpRequest,
     payload: web::Payload,
 ) -> HttpResponse {
@@ -304,7 +309,7 @@
 
 /// The filters before the upstream.
 async fn admit(
-    front: &Front,
+    front: &WorkerState,
     http: &HttpRequest,
     payload: web::Payload,
 ) -> Result<Admitted, HttpResponse> {
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -63,7 +63,7 @@
             is_chosen && self.suspects(|suspects| suspects.begin_trial(now, fingerprint));
         if is_begun {
             admitted.is_trial.set(true);
-            let line = admitted.line(self, EventCode::SuspectTried);
+            let line = admitted.log_entry(self, EventCode::SuspectTried);
             line.write();
         }
         is_begun
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -36,7 +36,7 @@
 use crate::gateway::rollouts::evidence::Measure;
 use crate::gateway::rollouts::evidence::Outcome;
 use crate::gateway::serve::Admitted;
-use crate::gateway::serve::Front;
+use crate::gateway::serve::WorkerState;
 use crate::gateway::shared::Shared;
 use crate::gateway::stream::relay::Relay;
 use crate::refusal::Code;
@@ -122,7 +122,7 @@
 }
 
 /// Serves one request.
-pub async fn run(front: &Front, admitted: Admitted) -> HttpResponse {
+pub async fn run(front: &WorkerState, admitted: Admitted) -> HttpResponse {
     let shared = &front.shared;
     let now = shared.now();
     shared.retry_budget(&admitted.service, |budget| budget.record_request(now));
@@ -145,7 +145,7 @@
         let upstream = candidate.upstream;
         tries.add(&upstream.id);
         let _trial = shared.begin_send(&upstream.id);
-        let line = admitted.line(shared, EventCode::RequestDispatched);
+        let line = admitted.log_entry(shared, EventCode::RequestDispatched);
         line.with("upstream", upstream.id.as_str())
             .with("load_requests", candidate.load.requests)
             .with("load_tokens", candidate.load.tokens)
@@ -203,13 +203,13 @@
         Need::Memory { .. } => queue::wait_for_room(shared, admitted, need, avoid).await,
         Need::Slot | Need::Copy { .. } => match shared.refuse_suspect(admitted) {
             Some(refusal) => Err(refusal),
-            None => Ok(admitted.place(shared, need, avoid)),
+            None => Ok(admitted.choose_upstream(shared, need, avoid)),
         },
     }
 }
 
 /// How long a generation is expected to run.
-pub(crate) fn expected_run(shared: &Shared, admitted: &Admitted) -> Duration {
+pub(crate) fn expected_duration(shared: &Shared, admitted: &Admitted) -> Duration {
     run_time(output_planned(admitted.size(shared)))
 }
 
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -27,7 +27,7 @@
 use crate::gateway::placement::Need;
 use crate::gateway::protocol::CopyDone;
 use crate::gateway::serve;
-use crate::gateway::serve::Breadth;
+use crate::gateway::serve::CandidateSet;
 use crate::telemetry;
 use crate::telemetry::Metric;
 
@@ -192,7 +192,8 @@
             tokens,
             memory_tokens: engine.memory_tokens,
         };
-        let candidates = serve::candidates(&self.shared, &self.admitted, &self.avoid, Breadth::All);
+        let candidates =
+            serve::candidates(&self.shared, &self.admitted, &self.avoid, CandidateSet::All);
         let room = f64::from(engine.memory_tokens) * DESTINATION_MEMORY_SHARE_MAX;
         let of_share = |among: Scope| -> Vec<Candidate> {
             let own = self.own_destinations(among);
@@ -385,7 +386,9 @@
 
     pub(super) fn note_move(&self, outcome: &str, to: Option<&Arc<Upstream>>) {
         let since = self.leaving_since.map(|since| since.elapsed().as_millis());
-        let line = self.admitted.line(&self.shared, EventCode::StreamMoved);
+        let line = self
+            .admitted
+            .log_entry(&self.shared, EventCode::StreamMoved);
         line.with("upstream", self.running.upstream.id.as_str())
             .with_some("to", to.map(|to| to.id.as_str()))
             .with("outcome", outcome)
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -246,7 +246,9 @@
         let upstream = &self.running.upstream.id;
         self.shared
             .clear_suspect(self.admitted.fingerprint, upstream);
-        let line = self.admitted.line(&self.shared, EventCode::RequestComplete);
+        let line = self
+            .admitted
+            .log_entry(&self.shared, EventCode::RequestComplete);
         line.with("upstream", self.running.upstream.id.as_str())
             .with("events", self.splitter.passed())
             .with_some("first_ms", self.first_ms)
@@ -262,7 +264,9 @@
         self.shared
             .record_failure(&self.admitted.service, &id, reason);
         telemetry::count_of_service(Metric::StreamsLostTotal, &self.admitted.service);
-        let line = self.admitted.line(&self.shared, EventCode::RequestFailed);
+        let line = self
+            .admitted
+            .log_entry(&self.shared, EventCode::RequestFailed);
         line.with("upstream", id.as_str())
             .with("reason", reason)
             .with("events", self.splitter.passed())
@@ -275,7 +279,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            let line = self.admitted.line(&self.shared, EventCode::CallerLeft);
+            let line = self.admitted.log_entry(&self.shared, EventCode::CallerLeft);
             line.with("upstream", self.running.upstream.id.as_str())
                 .with("events", self.splitter.passed())
                 .write();
--- a/src/gateway/serving.rs
+++ b/src/gateway/transferguard.rs
@@ -5,36 +5,36 @@
 use crate::gateway::shared::Shared;
 
 /// A transfer that was admitted.
-pub(crate) struct Serving {
+pub(crate) struct TransferGuard {
     shared: Shared,
-    what: Fetch,
+    kind: Fetch,
     ticket: Ticket,
 }
 
-impl Serving {
+impl TransferGuard {
     /// Admits a transfer, unless enough of the same are under way.
-    pub(crate) fn begin(shared: &Shared, what: Fetch) -> Option<Self> {
+    pub(crate) fn begin(shared: &Shared, kind: Fetch) -> Option<Self> {
         let now = shared.now();
-        let ticket = shared.transfers(what, |transfers| transfers.begin(now))?;
-        Some(Serving {
+        let ticket = shared.transfers(kind, |transfers| transfers.begin(now))?;
+        Some(TransferGuard {
             shared: shared.clone(),
-            what,
+            kind,
             ticket,
         })
     }
 
     /// The receiver took what was sent before.
-    pub(crate) fn progressed(&self) {
+    pub(crate) fn record_progress(&self) {
         let now = self.shared.now();
-        self.shared.transfers(self.what, |transfers| {
+        self.shared.transfers(self.kind, |transfers| {
             transfers.progressed(now, self.ticket);
         });
     }
 }
 
-impl Drop for Serving {
+impl Drop for TransferGuard {
     fn drop(&mut self) {
         self.shared
-            .transfers(self.what, |transfers| transfers.end(self.ticket));
+            .transfers(self.kind, |transfers| transfers.end(self.ticket));
     }
 }
