--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -63,26 +63,26 @@
 /// Time of one token at an engine with usual company; 8 to 11 ms were measured.
 const TOKEN_TIME: Duration = Duration::from_millis(11);
 /// Time for a generation's prompt, beside that of its tokens.
-const START_ALLOWANCE: Duration = Duration::from_millis(800);
+const PROMPT_TIME: Duration = Duration::from_millis(800);
 
 /// A run at an engine whose answer has begun.
 #[derive(Debug)]
-struct Running {
+struct ActiveRun {
     upstream: Arc<Upstream>,
     head: Parts,
     body: Incoming,
     /// Closes with the run.
     _connection: Connection,
-    occupied: LoadGuard,
+    load_guard: LoadGuard,
     sent_at: Instant,
     /// Tokens to be read before its first event, its own among them.
     unread_tokens: u32,
 }
 
 /// What came of sending a request to an engine.
-enum Opened {
+enum OpenResult {
     /// Its answer began.
-    Running(Box<Running>),
+    Running(Box<ActiveRun>),
     /// It answered in whole with something other than a stream.
     Answered(WholeAnswer),
     /// It was not sent, because no connection could be established.
@@ -95,20 +95,23 @@
     TimedOut,
 }
 
-impl Opened {
+impl OpenResult {
     /// Whether a continuation that came to this may be a repeat for upstreams. One that runs is the same run.
     fn may_count_as_retry(&self) -> bool {
         match self {
-            Opened::Running(_) | Opened::Unreachable(_) => false,
-            Opened::Answered(_) | Opened::NotRun(_) | Opened::Unknown(_) | Opened::TimedOut => true,
+            OpenResult::Running(_) | OpenResult::Unreachable(_) => false,
+            OpenResult::Answered(_)
+            | OpenResult::NotRun(_)
+            | OpenResult::Unknown(_)
+            | OpenResult::TimedOut => true,
         }
     }
 }
 
 /// A request on its way to an engine.
-struct Sending<'a> {
+struct Dispatch<'a> {
     upstream: &'a Arc<Upstream>,
-    occupied: LoadGuard,
+    load_guard: LoadGuard,
     /// Tokens to be read there before its first event, its own among them.
     unread_tokens: u32,
     continuation: Option<&'a Continuation>,
@@ -129,35 +132,45 @@
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
         return admitted.refuse(shared, &refusal);
     }
-    let mut tries = Attempts::default();
+    let mut attempts = Attempts::default();
     loop {
         let need = need(shared, &admitted);
-        let candidate = match choose_engine(shared, &admitted, need, tries.upstreams()).await {
+        let candidate = match choose_engine(shared, &admitted, need, attempts.upstreams()).await {
             Ok(Some(candidate)) => candidate,
             Ok(None) => {
-                return refuse_unplaced(shared, &admitted, tries.len(), "no engine is left");
+                return refuse_without_upstream(
+                    shared,
+                    &admitted,
+                    attempts.len(),
+                    "no engine is left",
+                );
             }
             Err(refusal) => return admitted.refuse(shared, &refusal),
         };
-        let share = shared
+        let running_guard = shared
             .queues()
             .track_running(admitted.customer.as_ref(), need.tokens());
         let upstream = candidate.upstream;
-        tries.add(&upstream.id);
-        let _trial = shared.begin_send(&upstream.id);
-        let line = admitted.log_entry(shared, EventCode::RequestDispatched);
-        line.with("upstream", upstream.id.as_str())
+        attempts.add(&upstream.id);
+        let _send_guard = shared.begin_send(&upstream.id);
+        let entry = admitted.log_entry(shared, EventCode::RequestDispatched);
+        entry
+            .with("upstream", upstream.id.as_str())
             .with("load_requests", candidate.load.requests)
             .with("load_tokens", candidate.load.tokens)
             .with("load_unread", candidate.load.unread_tokens)
             .with("tokens", need.tokens())
             .with("hosts", shared.live_hosts())
             .write();
-        let (reached, reason) = match open(shared, &admitted, &upstream, need.tokens(), None).await
+        let (delivery, reason) = match open(shared, &admitted, &upstream, need.tokens(), None).await
         {
-            Opened::Running(running) => return respond(shared.clone(), admitted, *running, share),
-            Opened::Answered(answer) => return pass_on(shared, &admitted, &upstream, answer),
-            Opened::TimedOut => {
+            OpenResult::Running(running) => {
+                return respond(shared.clone(), admitted, *running, running_guard);
+            }
+            OpenResult::Answered(answer) => {
+                return forward_failure(shared, &admitted, &upstream, answer);
+            }
+            OpenResult::TimedOut => {
                 shared.record_rollout_outcome(
                     &admitted,
                     &upstream,
@@ -169,7 +182,7 @@
                     Refusal::unknown(Code::DeadlineExceeded, "no answer before the deadline");
                 return admitted.refuse(shared, &refusal);
             }
-            Opened::Unknown(reason) => {
+            OpenResult::Unknown(reason) => {
                 shared.record_rollout_outcome(
                     &admitted,
                     &upstream,
@@ -180,14 +193,14 @@
                 let message = format!("{}: {reason}", upstream.id);
                 return admitted.refuse(shared, &Refusal::unknown(Code::UpstreamFailed, message));
             }
-            Opened::Unreachable(reason) => (Delivery::Unreachable, reason),
-            Opened::NotRun(reason) => {
+            OpenResult::Unreachable(reason) => (Delivery::Unreachable, reason),
+            OpenResult::NotRun(reason) => {
                 shared.record_failure(&admitted.service, &upstream.id, &reason);
                 (Delivery::Sent, reason)
             }
         };
-        if !tries.decide_retry(shared, &admitted, reached, &reason) {
-            return refuse_unplaced(shared, &admitted, tries.len(), &reason);
+        if !attempts.decide_retry(shared, &admitted, delivery, &reason) {
+            return refuse_without_upstream(shared, &admitted, attempts.len(), &reason);
         }
     }
 }
@@ -210,21 +223,21 @@
 
 /// How long a generation is expected to run.
 pub(crate) fn expected_duration(shared: &Shared, admitted: &Admitted) -> Duration {
-    run_time(output_planned(admitted.size(shared)))
+    run_duration(planned_output(admitted.size(shared)))
 }
 
-fn run_time(output_tokens: u32) -> Duration {
-    START_ALLOWANCE + TOKEN_TIME * output_tokens
+fn run_duration(output_tokens: u32) -> Duration {
+    PROMPT_TIME + TOKEN_TIME * output_tokens
 }
 
 /// Tokens that a generation produces by its caller's hint, with a margin; 0 where there is none.
-fn hinted(size: GenerationSize) -> u32 {
+fn hinted_tokens(size: GenerationSize) -> u32 {
     let hint = size.output_tokens_hint.unwrap_or(0);
     (f64::from(hint) * HINT_MARGIN) as u32
 }
 
 /// Tokens that a generation is expected to produce.
-fn output_planned(size: GenerationSize) -> u32 {
+fn planned_output(size: GenerationSize) -> u32 {
     let planned = size.output_tokens_hint.map(|hint| {
         let typical = (f64::from(size.output_tokens_max) * TYPICAL_OUTPUT_SHARE).max(1.0);
         let hint = f64::from(hint.max(1));
@@ -237,8 +250,8 @@
 }
 
 /// Tokens that a generation is expected to produce which has produced so many.
-fn output_expected(size: GenerationSize, produced: u32) -> u32 {
-    let planned = output_planned(size);
+fn expected_output(size: GenerationSize, produced: u32) -> u32 {
+    let planned = planned_output(size);
     if produced < planned {
         return planned;
     }
@@ -246,13 +259,13 @@
     longer.min(size.output_tokens_max).max(produced)
 }
 
-fn refuse_unplaced(
+fn refuse_without_upstream(
     shared: &Shared,
     admitted: &Admitted,
-    tries: usize,
+    attempts: usize,
     reason: &str,
 ) -> HttpResponse {
-    admitted.refuse(shared, &admitted.no_upstream(shared, tries, reason))
+    admitted.refuse(shared, &admitted.no_upstream(shared, attempts, reason))
 }
 
 /// The memory that a generation is predicted to need.
@@ -262,7 +275,7 @@
     };
     let size = admitted.size(shared);
     Need::Memory {
-        tokens: size.prompt_tokens + output_planned(size),
+        tokens: size.prompt_tokens + planned_output(size),
         prompt_tokens: size.prompt_tokens,
         memory_tokens: engine.memory_tokens,
     }
@@ -275,45 +288,49 @@
     upstream: &Arc<Upstream>,
     tokens: u32,
     continuation: Option<&Continuation>,
-) -> Opened {
+) -> OpenResult {
     let unread_tokens = match continuation {
         None if admitted.engine.is_some() => admitted.size(shared).prompt_tokens,
         _ => 0,
     };
     shared.record_send(upstream);
-    let occupied = shared
+    let load_guard = shared
         .loads()
         .add_request(&upstream.id, tokens, unread_tokens);
     let load = shared.loads().with(|loads| loads.at(&upstream.id));
     shared.announce_now();
-    let sending = Sending {
+    let dispatch = Dispatch {
         upstream,
-        occupied,
+        load_guard,
         unread_tokens: load.unread_tokens,
         continuation,
     };
-    let opening = open_now(shared, admitted, sending);
+    let opening = connect_and_send(shared, admitted, dispatch);
     tokio::select! {
         opened = opening => opened,
-        () = tokio::time::sleep_until(admitted.deadline) => Opened::TimedOut,
-        () = shared.wait_missed_deadline(admitted.deadline_at) => Opened::TimedOut,
+        () = tokio::time::sleep_until(admitted.deadline) => OpenResult::TimedOut,
+        () = shared.wait_missed_deadline(admitted.deadline_at) => OpenResult::TimedOut,
     }
 }
 
-async fn open_now(shared: &Shared, admitted: &Admitted, sending: Sending<'_>) -> Opened {
-    let Sending {
+async fn connect_and_send(
+    shared: &Shared,
+    admitted: &Admitted,
+    dispatch: Dispatch<'_>,
+) -> OpenResult {
+    let Dispatch {
         upstream,
-        occupied,
+        load_guard,
         unread_tokens,
         continuation,
-    } = sending;
+    } = dispatch;
     let sent_at = Instant::now();
     let opening = Connection::open(upstream.address, CONNECT_TIMEOUT, Patience::Long);
     let connection = match opening.await {
         Ok(connection) => connection,
         Err(failure) => {
             shared.record_unreachable(&upstream.id, failure.reason());
-            return Opened::Unreachable(failure.reason().to_owned());
+            return OpenResult::Unreachable(failure.reason().to_owned());
         }
     };
     shared.record_reached(&upstream.id);
@@ -326,12 +343,12 @@
     };
     let begun = match exchange::send(shared, admitted, connection, &headers).await {
         Ok(begun) => begun,
-        Err(Unanswered::NotRun(reason)) => return Opened::NotRun(reason),
+        Err(Unanswered::NotRun(reason)) => return OpenResult::NotRun(reason),
         Err(Unanswered::Unknown(reason)) => {
             // An engine that crashes takes connections for a while and looks empty, so it would be
             // chosen again and again by each host that has not seen it yet.
             shared.record_unreachable(&upstream.id, &reason);
-            return Opened::Unknown(reason);
+            return OpenResult::Unknown(reason);
         }
     };
     let Begun {
@@ -340,25 +357,25 @@
         body,
     } = begun;
     if head.status.is_success() {
-        return Opened::Running(Box::new(Running {
+        return OpenResult::Running(Box::new(ActiveRun {
             upstream: upstream.clone(),
             head,
             body,
             _connection: connection,
-            occupied,
+            load_guard,
             sent_at,
             unread_tokens,
         }));
     }
     match exchange::read_whole(shared, admitted, upstream, head, body).await {
-        Whole::Answered(answer) => Opened::Answered(answer),
-        Whole::NotRun(reason) => Opened::NotRun(reason),
-        Whole::Broken(reason) => Opened::Unknown(reason),
+        Whole::Answered(answer) => OpenResult::Answered(answer),
+        Whole::NotRun(reason) => OpenResult::NotRun(reason),
+        Whole::Broken(reason) => OpenResult::Unknown(reason),
     }
 }
 
 /// Passes the upstream's own failure on.
-fn pass_on(
+fn forward_failure(
     shared: &Shared,
     admitted: &Admitted,
     upstream: &Upstream,
@@ -374,19 +391,19 @@
 fn respond(
     shared: Shared,
     admitted: Admitted,
-    running: Running,
-    share: RunningGuard,
+    running: ActiveRun,
+    running_guard: RunningGuard,
 ) -> HttpResponse {
     shared.ejector(|ejector| ejector.succeeded(&running.upstream.id));
     let mut response = call::respond(&running.head);
     if shared.closes_connections() {
         response.force_close();
     }
-    let relay = Relay::new(shared, admitted, running, share);
-    response.streaming(stream::unfold(Some(relay), step))
+    let relay = Relay::new(shared, admitted, running, running_guard);
+    response.streaming(stream::unfold(Some(relay), next_chunk))
 }
 
-async fn step(relay: Option<Relay>) -> Option<(Result<Bytes, BrokenOff>, Option<Relay>)> {
+async fn next_chunk(relay: Option<Relay>) -> Option<(Result<Bytes, StreamAborted>, Option<Relay>)> {
     let mut relay = relay?;
     match relay.next().await {
         Some(Ok(events)) => Some((Ok(events), Some(relay))),
@@ -399,4 +416,4 @@
 /// be taken for a whole one.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off: {0}")]
-pub struct BrokenOff(String);
+pub struct StreamAborted(String);
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 use super::Continuation;
-use super::Opened;
+use super::OpenResult;
 use super::TOKEN_TIME;
 use super::open;
-use super::output_planned;
-use super::relay::Happened;
+use super::planned_output;
 use super::relay::Relay;
+use super::relay::RelayEvent;
 use crate::event::EventCode;
 use crate::gateway::destinations;
 use crate::gateway::destinations::Scope;
@@ -33,53 +33,53 @@
 
 /// A run waits for its turn no longer than this after the notice. Runs that jump the line would make
 /// all of them late, and few engines live longer after it.
-const PATIENCE: Duration = Duration::from_millis(1_700);
+const QUEUE_WAIT_MAX: Duration = Duration::from_millis(1_700);
 /// A run that is expected to end within this time isn't moved at first, so that the link is free for
 /// the others,
-const SHORT_RUN: Duration = Duration::from_millis(700);
+const SHORT_RUN_MAX: Duration = Duration::from_millis(700);
 /// but is after this time since the notice.
-const SHORT_RUN_WAIT: Duration = Duration::from_millis(600);
+const SHORT_RUN_DELAY: Duration = Duration::from_millis(600);
 /// How often it is looked whether such a run has ended.
-const SHORT_RUN_PAUSE: Duration = Duration::from_millis(150);
+const SHORT_RUN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 /// Where no engine takes a run, one may be listed or taken back while the run's own engine lives; it is looked for
 /// again after this time.
-const DESTINATION_PAUSE: Duration = Duration::from_millis(100);
+const DESTINATION_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A copy that met another one under way is tried again after this time.
-const BUSY_PAUSE: Duration = Duration::from_millis(25);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(25);
 /// Moves of one run that may fail before its fate is left to its engine.
 const MOVES_MAX: u32 = 6;
 
 /// Runs leave an engine within this time of its notice; engines give 1.5 to 2.1 s.
-const MOVES_LAST: Duration = Duration::from_millis(2_500);
+const MOVE_WINDOW: Duration = Duration::from_millis(2_500);
 /// An engine whose predicted memory is taken to this share is no destination while others have room.
 const DESTINATION_MEMORY_SHARE_MAX: f64 = 0.9;
 
 pub(super) type CopyResult = std::result::Result<CopyDone, CopyFailure>;
 
 /// How far a move has come.
-pub(super) enum Move {
+pub(super) enum MoveState {
     /// None is needed.
     None,
     /// The run waits for its turn.
     Queued {
-        turn: LocalBoxFuture<'static, Ticket>,
+        ticket: LocalBoxFuture<'static, Ticket>,
     },
     /// The first part is being copied.
-    First {
+    CopyingFirst {
         to: Arc<Upstream>,
-        held: Held,
+        guards: MoveGuards,
         copying: LocalBoxFuture<'static, CopyResult>,
     },
     /// The first part is copied; the run is stopped at `stop_at`, after another copy of it.
     Copied {
         to: Arc<Upstream>,
-        held: Held,
+        guards: MoveGuards,
         stop_at: Instant,
     },
     /// The run is being stopped and its rest copied.
-    Last {
+    CopyingRest {
         to: Arc<Upstream>,
-        held: Held,
+        guards: MoveGuards,
         copying: LocalBoxFuture<'static, CopyResult>,
     },
     /// The next try begins at this time.
@@ -87,15 +87,15 @@
 }
 
 /// What a move holds until the run goes on elsewhere.
-pub(super) struct Held {
-    _room: LoadGuard,
-    _turn: Ticket,
+pub(super) struct MoveGuards {
+    _load: LoadGuard,
+    _ticket: Ticket,
 }
 
 impl Relay {
     /// Begins a move if the engine is leaving.
-    pub(super) fn look_at_directory(&mut self) {
-        if !matches!(self.moving, Move::None) || !self.can_move() {
+    pub(super) fn check_leaving(&mut self) {
+        if !matches!(self.moving, MoveState::None) || !self.can_move() {
             return;
         }
         let id = &self.running.upstream.id;
@@ -107,9 +107,9 @@
             let ago = now.since(notice);
             let since = Instant::now().checked_sub(ago);
             self.leaving_since = since.or(self.leaving_since);
-            match self.ends_soon() && ago < SHORT_RUN_WAIT {
-                true => self.pause_for(SHORT_RUN_PAUSE),
-                false => self.queue(),
+            match self.ends_soon() && ago < SHORT_RUN_DELAY {
+                true => self.pause_for(SHORT_RUN_CHECK_INTERVAL),
+                false => self.join_queue(),
             }
         }
     }
@@ -120,53 +120,61 @@
     }
 
     /// Joins the line of the runs that leave the engine.
-    fn queue(&mut self) {
+    fn join_queue(&mut self) {
         let ticket = Ticket::join(&self.shared, &self.running.upstream.id);
         let notice = self.leaving_since.unwrap_or_else(Instant::now);
-        self.moving = Move::Queued {
-            turn: Box::pin(ticket.wait(notice + PATIENCE)),
+        self.moving = MoveState::Queued {
+            ticket: Box::pin(ticket.wait(notice + QUEUE_WAIT_MAX)),
         };
     }
 
     /// Starts to copy the run's memory to the engine with the most room.
     pub(super) fn begin_move(&mut self, ticket: Ticket) {
         self.avoid.push(self.running.upstream.id.clone());
-        let Some(to) = self.destination() else {
-            self.note_move("no destination", None);
+        let Some(to) = self.choose_destination() else {
+            self.log_move("no destination", None);
             self.avoid.clear();
-            self.pause_for(DESTINATION_PAUSE);
+            self.pause_for(DESTINATION_RETRY_DELAY);
             return;
         };
         self.moves += 1;
         ticket.set_destination(&to.id);
         // Reserves what the run will need when it goes on there.
         self.shared.record_send(&to);
-        self.note_move("copying", Some(&to));
+        self.log_move("copying", Some(&to));
         let size = self.admitted.size(&self.shared);
-        let tokens = size.prompt_tokens + output_planned(size);
-        let held = Held {
+        let tokens = size.prompt_tokens + planned_output(size);
+        let guards = MoveGuards {
             // Its link takes one copy after another, so the copy counts as unread until it is used.
-            _room: self.shared.loads().add_request(&to.id, tokens, tokens),
-            _turn: ticket,
+            _load: self.shared.loads().add_request(&to.id, tokens, tokens),
+            _ticket: ticket,
+        };
+        let copying = self.start_copy(&to, false);
+        self.moving = MoveState::CopyingFirst {
+            to,
+            guards,
+            copying,
         };
-        let copying = self.copy(&to, false);
-        self.moving = Move::First { to, held, copying };
     }
 
-    fn copy(&self, to: &Arc<Upstream>, last: bool) -> LocalBoxFuture<'static, CopyResult> {
+    fn start_copy(
+        &self,
+        to: &Arc<Upstream>,
+        is_final: bool,
+    ) -> LocalBoxFuture<'static, CopyResult> {
         let shared = self.shared.clone();
         let source = self.running.upstream.clone();
         let id = self.admitted.id.clone();
         let to = to.clone();
-        Box::pin(async move { migration::copy(&shared, &source, &id, &to, last).await })
+        Box::pin(async move { migration::copy(&shared, &source, &id, &to, is_final).await })
     }
 
     fn pause(&mut self) {
-        self.pause_for(BUSY_PAUSE);
+        self.pause_for(BUSY_RETRY_DELAY);
     }
 
     fn pause_for(&mut self, pause: Duration) {
-        self.moving = Move::Paused {
+        self.moving = MoveState::Paused {
             until: Instant::now() + pause,
         };
     }
@@ -177,14 +185,14 @@
             return true;
         }
         let produced = self.produced_tokens();
-        let planned = output_planned(self.admitted.size(&self.shared));
-        TOKEN_TIME * planned.saturating_sub(produced) < SHORT_RUN && produced < planned
+        let planned = planned_output(self.admitted.size(&self.shared));
+        TOKEN_TIME * planned.saturating_sub(produced) < SHORT_RUN_MAX && produced < planned
     }
 
     /// Where the run goes: to an engine that takes runs of no other near leaving engine; if none of
     /// those has room, to one that takes runs of no other leaving engine at all; else to any. Engines to
     /// which others are being copied now are passed over as long as there is another one.
-    fn destination(&self) -> Option<Arc<Upstream>> {
+    fn choose_destination(&self) -> Option<Arc<Upstream>> {
         let engine = self.admitted.engine.as_ref()?;
         let size = self.admitted.size(&self.shared);
         let tokens = size.prompt_tokens + size.output_tokens_max / 2;
@@ -194,56 +202,56 @@
         };
         let candidates =
             serve::candidates(&self.shared, &self.admitted, &self.avoid, CandidateSet::All);
-        let room = f64::from(engine.memory_tokens) * DESTINATION_MEMORY_SHARE_MAX;
-        let of_share = |among: Scope| -> Vec<Candidate> {
-            let own = self.own_destinations(among);
-            let own = candidates
+        let tokens_max = f64::from(engine.memory_tokens) * DESTINATION_MEMORY_SHARE_MAX;
+        let assigned = |scope: Scope| -> Vec<Candidate> {
+            let ids = self.assigned_destinations(scope);
+            let assigned = candidates
                 .iter()
-                .filter(|candidate| own.contains(&candidate.upstream.id) && !candidate.unhealthy)
-                .filter(|candidate| f64::from(candidate.load.tokens + tokens) < room);
-            own.cloned().collect()
+                .filter(|candidate| ids.contains(&candidate.upstream.id) && !candidate.unhealthy)
+                .filter(|candidate| f64::from(candidate.load.tokens + tokens) < tokens_max);
+            assigned.cloned().collect()
         };
         let choose = |among: &[Candidate]| serve::choose(&self.shared, need, among);
-        let candidate = choose(&self.free(of_share(Scope::Local)))
-            .or_else(|| choose(&self.free(of_share(Scope::All))))
-            .or_else(|| choose(&self.free(candidates.clone())))
+        let candidate = choose(&self.exclude_busy(assigned(Scope::Local)))
+            .or_else(|| choose(&self.exclude_busy(assigned(Scope::All))))
+            .or_else(|| choose(&self.exclude_busy(candidates.clone())))
             .or_else(|| choose(&candidates))?;
         Some(candidate.upstream)
     }
 
     /// Those of `candidates` to which no run of another engine is being copied.
-    fn free(&self, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
+    fn exclude_busy(&self, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
         let now = self.shared.now();
         let source = &self.running.upstream.id;
-        let turns = self.shared.turns();
-        let taken = turns.with(|turns| turns.busy_destinations(now, source));
-        candidates.retain(|candidate| !taken.contains(&candidate.upstream.id));
+        let queues = self.shared.turns();
+        let busy = queues.with(|queues| queues.busy_destinations(now, source));
+        candidates.retain(|candidate| !busy.contains(&candidate.upstream.id));
         candidates
     }
 
     /// The engines that take runs of this run's engine and of no other one.
-    fn own_destinations(&self, among: Scope) -> BTreeSet<InstanceId> {
+    fn assigned_destinations(&self, scope: Scope) -> BTreeSet<InstanceId> {
         let now = self.shared.now();
         let service = &self.admitted.service;
         let (leaving, ready) = self.shared.directory(|directory| {
-            let leaving = directory.leaving(now, service, MOVES_LAST);
+            let leaving = directory.leaving(now, service, MOVE_WINDOW);
             (leaving, directory.ready(service))
         });
-        destinations::assign(&self.running.upstream.id, &leaving, &ready, among)
+        destinations::assign(&self.running.upstream.id, &leaving, &ready, scope)
     }
 
-    pub(super) fn first_copied(&mut self, result: CopyResult) {
-        let moving = std::mem::replace(&mut self.moving, Move::None);
-        let Move::First { to, held, .. } = moving else {
+    pub(super) fn on_first_copied(&mut self, result: CopyResult) {
+        let moving = std::mem::replace(&mut self.moving, MoveState::None);
+        let MoveState::CopyingFirst { to, guards, .. } = moving else {
             return;
         };
         match result {
             Ok(done) => {
-                self.note_move(&format!("copied {} events", done.events), Some(&to));
-                self.begin_last(to, held);
+                self.log_move(&format!("copied {} events", done.events), Some(&to));
+                self.copy_rest(to, guards);
             }
             Err(failure) => {
-                self.note_move(&failure.describe(), Some(&to));
+                self.log_move(&failure.describe(), Some(&to));
                 match failure {
                     // It is about to end by itself, or has not begun to run.
                     CopyFailure::NoSuchRun | CopyFailure::Busy => {}
@@ -256,19 +264,23 @@
         }
     }
 
-    pub(super) fn timer(&mut self) {
-        match std::mem::replace(&mut self.moving, Move::None) {
-            Move::Copied { to, held, .. } => self.begin_last(to, held),
-            Move::Paused { .. } => self.look_at_directory(),
+    pub(super) fn on_timer(&mut self) {
+        match std::mem::replace(&mut self.moving, MoveState::None) {
+            MoveState::Copied { to, guards, .. } => self.copy_rest(to, guards),
+            MoveState::Paused { .. } => self.check_leaving(),
             other => self.moving = other,
         }
     }
 
     /// Stops the run and copies its rest.
-    pub(super) fn begin_last(&mut self, to: Arc<Upstream>, held: Held) {
-        self.note_move("stopping", Some(&to));
-        let copying = self.copy(&to, true);
-        self.moving = Move::Last { to, held, copying };
+    pub(super) fn copy_rest(&mut self, to: Arc<Upstream>, guards: MoveGuards) {
+        self.log_move("stopping", Some(&to));
+        let copying = self.start_copy(&to, true);
+        self.moving = MoveState::CopyingRest {
+            to,
+            guards,
+            copying,
+        };
     }
 
     /// The run was stopped and copied, or not.
@@ -276,37 +288,37 @@
     /// # Errors
     ///
     /// Why the stream can't go on.
-    pub(super) async fn last_copied(&mut self, result: CopyResult) -> Result<(), String> {
-        let moving = std::mem::replace(&mut self.moving, Move::None);
-        let Move::Last { to, held, .. } = moving else {
+    pub(super) async fn on_rest_copied(&mut self, result: CopyResult) -> Result<(), String> {
+        let moving = std::mem::replace(&mut self.moving, MoveState::None);
+        let MoveState::CopyingRest { to, guards, .. } = moving else {
             return Ok(());
         };
         let source = self.running.upstream.clone();
         match result {
             Ok(done) => {
-                self.note_move(&format!("stopped at event {}", done.events), Some(&to));
+                self.log_move(&format!("stopped at event {}", done.events), Some(&to));
                 // The link is free for the next run.
-                drop(held);
+                drop(guards);
                 self.continue_at(&to, &source, &done.handle).await
             }
             Err(CopyFailure::NoRoom(Some(handle))) => {
-                self.note_move("no room after the stop", Some(&to));
+                self.log_move("no room after the stop", Some(&to));
                 self.avoid.push(to.id.clone());
                 self.continue_at_source(&source, &handle).await?;
-                self.look_at_directory();
+                self.check_leaving();
                 Ok(())
             }
             Err(failure) => {
-                self.note_move(&failure.describe(), Some(&to));
-                let until = Instant::now() + BUSY_PAUSE;
+                self.log_move(&failure.describe(), Some(&to));
+                let until = Instant::now() + BUSY_RETRY_DELAY;
                 self.moving = match failure {
-                    CopyFailure::Busy => Move::Copied {
+                    CopyFailure::Busy => MoveState::Copied {
                         to,
-                        held,
+                        guards,
                         stop_at: until,
                     },
                     CopyFailure::NoSuchRun | CopyFailure::NoRoom(_) | CopyFailure::Unknown(_) => {
-                        Move::Paused { until }
+                        MoveState::Paused { until }
                     }
                 };
                 Ok(())
@@ -345,25 +357,25 @@
                 .retry_budget(&service, |budget| budget.charge(now));
         }
         match opened {
-            Opened::Running(running) => {
-                self.moving = Move::None;
+            OpenResult::Running(running) => {
+                self.moving = MoveState::None;
                 self.running = *running;
-                self.broken = None;
+                self.stream_error = None;
                 self.splitter.restart();
                 self.leaving_since = None;
                 telemetry::count_of_service(Metric::StreamMovesTotal, &service);
-                self.note_move("continued", Some(to));
+                self.log_move("continued", Some(to));
                 Ok(())
             }
-            Opened::NotRun(reason) | Opened::Unreachable(reason) if to.id != source.id => {
-                self.note_move(&format!("not continued: {reason}"), Some(to));
+            OpenResult::NotRun(reason) | OpenResult::Unreachable(reason) if to.id != source.id => {
+                self.log_move(&format!("not continued: {reason}"), Some(to));
                 Box::pin(self.continue_at_source(source, handle)).await
             }
-            Opened::Unreachable(reason) | Opened::NotRun(reason) | Opened::Unknown(reason) => {
-                Err(reason)
-            }
-            Opened::Answered(answer) => Err(format!("status {}", answer.head.status)),
-            Opened::TimedOut => Err("the deadline passed".to_owned()),
+            OpenResult::Unreachable(reason)
+            | OpenResult::NotRun(reason)
+            | OpenResult::Unknown(reason) => Err(reason),
+            OpenResult::Answered(answer) => Err(format!("status {}", answer.head.status)),
+            OpenResult::TimedOut => Err("the deadline passed".to_owned()),
         }
     }
 
@@ -378,18 +390,19 @@
             .shared
             .directory(|directory| directory.evacuations().contains(data_centre));
         if is_evacuated {
-            self.note_move("not continued: its data centre is evacuated", Some(source));
+            self.log_move("not continued: its data centre is evacuated", Some(source));
             return Err("its data centre is evacuated and no other engine took it".to_owned());
         }
         self.continue_at(source, source, handle).await
     }
 
-    pub(super) fn note_move(&self, outcome: &str, to: Option<&Arc<Upstream>>) {
+    pub(super) fn log_move(&self, outcome: &str, to: Option<&Arc<Upstream>>) {
         let since = self.leaving_since.map(|since| since.elapsed().as_millis());
-        let line = self
+        let entry = self
             .admitted
             .log_entry(&self.shared, EventCode::StreamMoved);
-        line.with("upstream", self.running.upstream.id.as_str())
+        entry
+            .with("upstream", self.running.upstream.id.as_str())
             .with_some("to", to.map(|to| to.id.as_str()))
             .with("outcome", outcome)
             .with("last_event", self.splitter.last_id())
@@ -398,11 +411,13 @@
     }
 }
 
-pub(super) async fn copied(moving: &mut Move) -> Happened {
+pub(super) async fn next_step(moving: &mut MoveState) -> RelayEvent {
     match moving {
-        Move::Queued { turn } => Happened::Turn(turn.await),
-        Move::First { copying, .. } => Happened::FirstCopied(copying.await),
-        Move::Last { copying, .. } => Happened::LastCopied(copying.await),
-        Move::None | Move::Copied { .. } | Move::Paused { .. } => std::future::pending().await,
+        MoveState::Queued { ticket } => RelayEvent::MayMove(ticket.await),
+        MoveState::CopyingFirst { copying, .. } => RelayEvent::FirstCopied(copying.await),
+        MoveState::CopyingRest { copying, .. } => RelayEvent::RestCopied(copying.await),
+        MoveState::None | MoveState::Copied { .. } | MoveState::Paused { .. } => {
+            std::future::pending().await
+        }
     }
 }
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -7,13 +7,13 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::BrokenOff;
-use super::Running;
+use super::ActiveRun;
+use super::StreamAborted;
+use super::expected_output;
 use super::moving::CopyResult;
-use super::moving::Move;
-use super::moving::copied;
-use super::output_expected;
-use super::output_planned;
+use super::moving::MoveState;
+use super::moving::next_step;
+use super::planned_output;
 use crate::event::EventCode;
 use crate::gateway::events::EventSplitter;
 use crate::gateway::instance::InstanceId;
@@ -35,12 +35,12 @@
 pub(super) struct Relay {
     pub(super) shared: Shared,
     pub(super) admitted: Admitted,
-    pub(super) running: Running,
+    pub(super) running: ActiveRun,
     /// The engine's stream has broken off; a move may still continue it.
-    pub(super) broken: Option<String>,
+    pub(super) stream_error: Option<String>,
     pub(super) splitter: EventSplitter,
     pub(super) changes: watch::Receiver<u64>,
-    pub(super) moving: Move,
+    pub(super) moving: MoveState,
     pub(super) leaving_since: Option<Instant>,
     pub(super) moves: u32,
     pub(super) avoid: Vec<InstanceId>,
@@ -48,23 +48,23 @@
     pub(super) first_ms: Option<f64>,
     first_at: Option<Instant>,
     /// Whether its pace was told.
-    has_pace: bool,
+    pace_recorded: bool,
     /// Tokens that it is expected to produce.
     expected_tokens: u32,
     pub(super) last_at: Instant,
     pub(super) gap_max: Duration,
     pub(super) ended: bool,
     /// What it counts for its customer.
-    share: RunningGuard,
+    running_guard: RunningGuard,
 }
 
 /// What happened next.
-pub(super) enum Happened {
+pub(super) enum RelayEvent {
     Frame(Option<Result<Bytes, String>>),
     DirectoryChanged,
-    Turn(Ticket),
+    MayMove(Ticket),
     FirstCopied(CopyResult),
-    LastCopied(CopyResult),
+    RestCopied(CopyResult),
     Timer,
     Deadline,
 }
@@ -73,72 +73,74 @@
     pub(super) fn new(
         shared: Shared,
         admitted: Admitted,
-        running: Running,
-        share: RunningGuard,
+        running: ActiveRun,
+        running_guard: RunningGuard,
     ) -> Self {
         let class = ClassId::new(format!("{}", admitted.priority));
         let meter = StreamMeter::start(shared.now(), &admitted.service, &class);
         let mut changes = shared.watch_directory();
         changes.mark_changed();
-        let expected_tokens = output_planned(admitted.size(&shared));
+        let expected_tokens = planned_output(admitted.size(&shared));
         Relay {
             changes,
             meter,
             admitted,
             running,
-            broken: None,
+            stream_error: None,
             splitter: EventSplitter::default(),
-            moving: Move::None,
+            moving: MoveState::None,
             leaving_since: None,
             moves: 0,
             avoid: Vec::new(),
             first_ms: None,
             first_at: None,
-            has_pace: false,
+            pace_recorded: false,
             expected_tokens,
             last_at: Instant::now(),
             gap_max: Duration::ZERO,
             ended: false,
-            share,
+            running_guard,
             shared,
         }
     }
 
     /// The next whole events, or none after the last one.
-    pub(super) async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    pub(super) async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
         loop {
-            match self.happened().await {
-                Happened::Frame(Some(Ok(data))) => match self.splitter.push(&data) {
+            match self.next_event().await {
+                RelayEvent::Frame(Some(Ok(data))) => match self.splitter.push(&data) {
                     Ok(events) if events.is_empty() => {}
                     Ok(events) => {
-                        self.passed();
+                        self.record_events();
                         return Some(Ok(events));
                     }
                     Err(fault) => return self.fail(&format!("{fault:?}")),
                 },
-                Happened::Frame(None) if !self.splitter.has_partial() => {
+                RelayEvent::Frame(None) if !self.splitter.has_partial() => {
                     self.complete();
                     return None;
                 }
-                Happened::Frame(None) => self.broken = Some("ended within an event".to_owned()),
-                Happened::Frame(Some(Err(reason))) => self.broken = Some(reason),
+                RelayEvent::Frame(None) => {
+                    self.stream_error = Some("ended within an event".to_owned())
+                }
+                RelayEvent::Frame(Some(Err(reason))) => self.stream_error = Some(reason),
                 // Timers don't count a suspension of the host, which is told in the same way.
-                Happened::DirectoryChanged if self.admitted.time_left().is_zero() => {
+                RelayEvent::DirectoryChanged if self.admitted.time_left().is_zero() => {
                     return self.fail("the deadline passed");
                 }
-                Happened::DirectoryChanged => self.look_at_directory(),
-                Happened::Turn(ticket) => self.begin_move(ticket),
-                Happened::FirstCopied(result) => self.first_copied(result),
-                Happened::LastCopied(result) => {
-                    if let Err(reason) = self.last_copied(result).await {
+                RelayEvent::DirectoryChanged => self.check_leaving(),
+                RelayEvent::MayMove(ticket) => self.begin_move(ticket),
+                RelayEvent::FirstCopied(result) => self.on_first_copied(result),
+                RelayEvent::RestCopied(result) => {
+                    if let Err(reason) = self.on_rest_copied(result).await {
                         return self.fail(&reason);
                     }
                 }
-                Happened::Timer => self.timer(),
-                Happened::Deadline => return self.fail("the deadline passed"),
+                RelayEvent::Timer => self.on_timer(),
+                RelayEvent::Deadline => return self.fail("the deadline passed"),
             }
-            if let Some(reason) = self.broken.clone()
-                && !self.will_go_on()
+            if let Some(reason) = self.stream_error.clone()
+                && !self.will_continue()
             {
                 let upstream = &self.running.upstream.id;
                 self.shared
@@ -149,30 +151,30 @@
     }
 
     /// Events go out to the caller.
-    fn passed(&mut self) {
+    fn record_events(&mut self) {
         self.meter.token(self.shared.now());
-        self.running.occupied.mark_prompt_read();
-        self.look_at_length();
+        self.running.load_guard.mark_prompt_read();
+        self.grow_reservation();
         let now = Instant::now();
         match self.first_ms {
-            None => self.first_passed(),
+            None => self.record_first_event(),
             Some(_) => self.gap_max = self.gap_max.max(now - self.last_at),
         }
-        self.look_at_pace(now);
+        self.record_pace(now);
         self.last_at = now;
     }
 
     /// Counts more memory for a run that has produced what was planned. Ten long answers whose hints are short would
     /// else fill an engine that looks half empty.
-    fn look_at_length(&mut self) {
+    fn grow_reservation(&mut self) {
         let produced = self.produced_tokens();
         if produced < self.expected_tokens {
             return;
         }
         let size = self.admitted.size(&self.shared);
-        self.expected_tokens = output_expected(size, produced).max(produced + 1);
+        self.expected_tokens = expected_output(size, produced).max(produced + 1);
         let tokens = size.prompt_tokens.saturating_add(self.expected_tokens);
-        self.running.occupied.grow_to(tokens);
+        self.running.load_guard.grow_to(tokens);
     }
 
     /// Tokens of the events that went out to the caller.
@@ -184,28 +186,28 @@
     }
 
     /// Tells how fast the stream is once it has passed some events.
-    fn look_at_pace(&mut self, now: Instant) {
+    fn record_pace(&mut self, now: Instant) {
         let Some(first_at) = self.first_at else {
             return;
         };
-        if !self.has_pace && self.splitter.passed() >= PACE_EVENTS {
-            self.has_pace = true;
+        if !self.pace_recorded && self.splitter.passed() >= PACE_EVENTS {
+            self.pace_recorded = true;
             let time = now - first_at;
-            self.note_tried(Measure::Pace, Outcome::Took(time));
+            self.record_outcome(Measure::Pace, Outcome::Took(time));
         }
     }
 
-    fn note_tried(&self, measure: Measure, outcome: Outcome) {
+    fn record_outcome(&self, measure: Measure, outcome: Outcome) {
         let upstream = &self.running.upstream;
         self.shared
             .record_rollout_outcome(&self.admitted, upstream, measure, outcome);
     }
 
-    fn first_passed(&mut self) {
+    fn record_first_event(&mut self) {
         self.first_at = Some(Instant::now());
         self.first_ms = Some(self.admitted.arrived.elapsed().as_secs_f64() * 1_000.0);
         let time = self.running.sent_at.elapsed();
-        self.note_tried(Measure::FirstEvent, Outcome::Took(time));
+        self.record_outcome(Measure::FirstEvent, Outcome::Took(time));
         let tokens = self.running.unread_tokens;
         let in_time = self.admitted.arrived.elapsed() <= self.admitted.route.objective;
         self.shared.queues().with(|lines| {
@@ -215,41 +217,45 @@
     }
 
     /// Where the stream has broken off, whether a move is under way that will continue it.
-    fn will_go_on(&self) -> bool {
-        matches!(self.moving, Move::Last { .. })
+    fn will_continue(&self) -> bool {
+        matches!(self.moving, MoveState::CopyingRest { .. })
     }
 
-    async fn happened(&mut self) -> Happened {
+    async fn next_event(&mut self) -> RelayEvent {
         let timer = match &self.moving {
-            Move::Copied { stop_at, .. } => Some(*stop_at),
-            Move::Paused { until } => Some(*until),
-            Move::None | Move::Queued { .. } | Move::First { .. } | Move::Last { .. } => None,
+            MoveState::Copied { stop_at, .. } => Some(*stop_at),
+            MoveState::Paused { until } => Some(*until),
+            MoveState::None
+            | MoveState::Queued { .. }
+            | MoveState::CopyingFirst { .. }
+            | MoveState::CopyingRest { .. } => None,
         };
-        let is_open = self.broken.is_none();
+        let is_open = self.stream_error.is_none();
         tokio::select! {
             biased;
-            frame = self.running.body.frame(), if is_open => Happened::Frame(match frame {
+            frame = self.running.body.frame(), if is_open => RelayEvent::Frame(match frame {
                 None => None,
                 Some(Ok(frame)) => Some(Ok(frame.into_data().unwrap_or_default())),
                 Some(Err(error)) => Some(Err(error.to_string())),
             }),
-            happened = copied(&mut self.moving) => happened,
-            _ = self.changes.changed() => Happened::DirectoryChanged,
-            () = sleep_until(timer) => Happened::Timer,
-            () = tokio::time::sleep_until(self.admitted.deadline) => Happened::Deadline,
+            step = next_step(&mut self.moving) => step,
+            _ = self.changes.changed() => RelayEvent::DirectoryChanged,
+            () = sleep_until(timer) => RelayEvent::Timer,
+            () = tokio::time::sleep_until(self.admitted.deadline) => RelayEvent::Deadline,
         }
     }
 
     fn complete(&mut self) {
         self.ended = true;
-        self.share.complete();
+        self.running_guard.complete();
         let upstream = &self.running.upstream.id;
         self.shared
             .clear_suspect(self.admitted.fingerprint, upstream);
-        let line = self
+        let entry = self
             .admitted
             .log_entry(&self.shared, EventCode::RequestComplete);
-        line.with("upstream", self.running.upstream.id.as_str())
+        entry
+            .with("upstream", self.running.upstream.id.as_str())
             .with("events", self.splitter.passed())
             .with_some("first_ms", self.first_ms)
             .with("gap_max_ms", self.gap_max.as_millis() as u64)
@@ -257,30 +263,32 @@
             .write();
     }
 
-    fn fail(&mut self, reason: &str) -> Option<Result<Bytes, BrokenOff>> {
+    fn fail(&mut self, reason: &str) -> Option<Result<Bytes, StreamAborted>> {
         self.ended = true;
         let id = self.running.upstream.id.clone();
-        self.note_tried(Measure::Pace, Outcome::Failed);
+        self.record_outcome(Measure::Pace, Outcome::Failed);
         self.shared
             .record_failure(&self.admitted.service, &id, reason);
         telemetry::count_of_service(Metric::StreamsLostTotal, &self.admitted.service);
-        let line = self
+        let entry = self
             .admitted
             .log_entry(&self.shared, EventCode::RequestFailed);
-        line.with("upstream", id.as_str())
+        entry
+            .with("upstream", id.as_str())
             .with("reason", reason)
             .with("events", self.splitter.passed())
             .with("moves", self.moves)
             .write();
-        Some(Err(BrokenOff(reason.to_owned())))
+        Some(Err(StreamAborted(reason.to_owned())))
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.ended {
-            let line = self.admitted.log_entry(&self.shared, EventCode::CallerLeft);
-            line.with("upstream", self.running.upstream.id.as_str())
+            let entry = self.admitted.log_entry(&self.shared, EventCode::CallerLeft);
+            entry
+                .with("upstream", self.running.upstream.id.as_str())
                 .with("events", self.splitter.passed())
                 .write();
         }
--- a/src/gateway/stream/stopping.rs
+++ b/src/gateway/stream/stopping.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use super::hinted;
-use super::output_planned;
-use super::run_time;
+use super::hinted_tokens;
+use super::planned_output;
+use super::run_duration;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::refuse;
 use crate::gateway::serve::Admitted;
@@ -14,14 +14,14 @@
 
 /// For so long callers can't know that the host stops: until the balancer has noticed (2 s) and what
 /// was under way has arrived. What comes later over an old connection must certainly finish.
-const UNNOTICED: Duration = Duration::from_millis(2_500);
+const NOTICE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// The refusal of a generation that would not finish before the host ends.
 pub(super) fn refuse_while_stopping(shared: &Shared, admitted: &Admitted) -> Option<Refusal> {
     let left = shared.shutdown_time_left()?;
     let stopping_for = shared.settings().grace.saturating_sub(left);
     let size = admitted.size(shared);
-    match finishes(size, stopping_for, left) {
+    match finishes_in_time(size, stopping_for, left) {
         true => None,
         false => Some(refuse::host_stopping()),
     }
@@ -30,19 +30,19 @@
 /// Whether a generation finishes within `left` on a host that has been stopping for `stopping_for`:
 /// by its caller's hint at first, and by the most that it may produce later, as hints are far off now
 /// and then.
-fn finishes(size: GenerationSize, stopping_for: Duration, left: Duration) -> bool {
-    let output_tokens = match stopping_for < UNNOTICED {
-        true => output_cautious(size),
+fn finishes_in_time(size: GenerationSize, stopping_for: Duration, left: Duration) -> bool {
+    let output_tokens = match stopping_for < NOTICE_DELAY {
+        true => cautious_output(size),
         false => size.output_tokens_max,
     };
-    run_time(output_tokens) < left
+    run_duration(output_tokens) < left
 }
 
 /// The longer of what is planned and of what the hint says: a stream that outlasts the grace is cut.
-fn output_cautious(size: GenerationSize) -> u32 {
-    let planned = output_planned(size);
-    let hinted = hinted(size).min(size.output_tokens_max);
-    planned.max(hinted)
+fn cautious_output(size: GenerationSize) -> u32 {
+    let planned = planned_output(size);
+    let hinted_tokens = hinted_tokens(size).min(size.output_tokens_max);
+    planned.max(hinted_tokens)
 }
 
 #[cfg(test)]
--- a/src/gateway/stream/stopping/tests.rs
+++ b/src/gateway/stream/stopping/tests.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
-use super::UNNOTICED;
-use super::finishes;
+use super::NOTICE_DELAY;
+use super::finishes_in_time;
 use crate::gateway::protocol::GenerationSize;
 
 /// Hinted at 1.9 s in all, at most 12 s.
@@ -11,12 +11,16 @@
     output_tokens_hint: Some(80),
 };
 
-const LEFT: Duration = Duration::from_secs(4);
+const TIME_LEFT: Duration = Duration::from_secs(4);
 
 #[test]
 fn a_generation_that_finishes_by_its_hint_is_taken_while_nobody_can_know() {
-    assert!(finishes(HINTED_SHORT, Duration::ZERO, LEFT));
-    assert!(!finishes(HINTED_SHORT, Duration::ZERO, LEFT / 4));
+    assert!(finishes_in_time(HINTED_SHORT, Duration::ZERO, TIME_LEFT));
+    assert!(!finishes_in_time(
+        HINTED_SHORT,
+        Duration::ZERO,
+        TIME_LEFT / 4
+    ));
 }
 
 #[test]
@@ -26,6 +30,6 @@
         ..HINTED_SHORT
     };
 
-    assert!(!finishes(HINTED_SHORT, UNNOTICED, LEFT));
-    assert!(finishes(certain, UNNOTICED, LEFT));
+    assert!(!finishes_in_time(HINTED_SHORT, NOTICE_DELAY, TIME_LEFT));
+    assert!(finishes_in_time(certain, NOTICE_DELAY, TIME_LEFT));
 }
--- a/src/gateway/stream/tests.rs
+++ b/src/gateway/stream/tests.rs
@@ -1,5 +1,5 @@
-use super::output_expected;
-use super::output_planned;
+use super::expected_output;
+use super::planned_output;
 use crate::gateway::protocol::GenerationSize;
 
 fn size(hint: Option<u32>) -> GenerationSize {
@@ -12,26 +12,26 @@
 
 #[test]
 fn hints_far_from_the_typical_length_are_believed_in_part() {
-    let planned = [30, 400, 5_000].map(|hint| output_planned(size(Some(hint))));
+    let planned = [30, 400, 5_000].map(|hint| planned_output(size(Some(hint))));
 
     assert!((38..500).contains(&planned[0]), "{planned:?}");
     assert!((490..=500).contains(&planned[1]), "{planned:?}");
     assert_eq!(planned[2], 1_600, "{planned:?}");
-    assert!(output_planned(size(Some(1_500))) < 1_500);
+    assert!(planned_output(size(Some(1_500))) < 1_500);
 }
 
 #[test]
 fn without_a_hint_the_most_is_planned() {
-    assert_eq!(output_planned(size(None)), 1_600);
+    assert_eq!(planned_output(size(None)), 1_600);
 }
 
 // Runs whose hints were short went on unseen: engines that looked half empty preempted streams.
 #[test]
 fn a_run_that_has_passed_its_plan_is_expected_to_go_on() {
-    let planned = output_planned(size(Some(100)));
+    let planned = planned_output(size(Some(100)));
 
     let expected =
-        [0, planned, 1_000, 1_600].map(|produced| output_expected(size(Some(100)), produced));
+        [0, planned, 1_000, 1_600].map(|produced| expected_output(size(Some(100)), produced));
 
     assert_eq!(expected[0], planned);
     assert!(expected[1] > planned);
