--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -59,7 +59,7 @@
 use crate::telemetry;
 
 /// What is assumed of a generation that tells nothing of its size, in tokens.
-const UNKNOWN_SIZE: GenerationSize = GenerationSize {
+const DEFAULT_SIZE: GenerationSize = GenerationSize {
     prompt_tokens: 1_000,
     output_tokens_max: 1_000,
     output_tokens_hint: None,
@@ -70,7 +70,7 @@
 const EVACUATED_RETRY_AFTER_MS: u64 = 1_000;
 
 /// So many upstreams of another data centre that can't be connected to are taken for a cut.
-const CUT_UPSTREAMS: usize = 2;
+const UNREACHABLE_UPSTREAMS_MIN: usize = 2;
 
 /// At which upstreams a request looks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -161,8 +161,9 @@
     /// A log line of this request.
     pub fn log_entry(&self, shared: &Shared, code: EventCode) -> Line {
         let ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
-        let line = shared.log().line(code);
-        line.with("request", self.id.as_str())
+        let entry = shared.log().line(code);
+        entry
+            .with("request", self.id.as_str())
             .with("fingerprint", self.fingerprint.to_string())
             .with("route", self.route.name.as_str())
             .with("kind", self.route.kind.name())
@@ -173,8 +174,9 @@
 
     /// Refuses or fails the request; writes the line that says why.
     pub fn refuse(&self, shared: &Shared, refusal: &Refusal) -> HttpResponse {
-        let line = self.log_entry(shared, EventCode::RequestRefused);
-        line.with("code", refusal.code.name())
+        let entry = self.log_entry(shared, EventCode::RequestRefused);
+        entry
+            .with("code", refusal.code.name())
             .with("ran", format!("{:?}", refusal.ran))
             .with("message", refusal.message.as_str())
             .write();
@@ -183,20 +185,20 @@
     }
 
     /// The refusal of a request for which no upstream is left after `tries`; it has not run.
-    pub fn no_upstream(&self, shared: &Shared, tries: usize, reason: &str) -> Refusal {
+    pub fn no_upstream(&self, shared: &Shared, attempts: usize, reason: &str) -> Refusal {
         if shared.directory(|directory| directory.is_evacuated(&self.service)) {
-            let message = format!("not run after {tries} tries: its data centres are evacuated");
+            let message = format!("not run after {attempts} tries: its data centres are evacuated");
             let refusal = Refusal::not_run(Code::NoUpstream, message);
             return refusal.retry_after_ms(EVACUATED_RETRY_AFTER_MS);
         }
-        let message = format!("not run after {tries} tries: {reason}");
+        let message = format!("not run after {attempts} tries: {reason}");
         Refusal::not_run(Code::NoUpstream, message)
     }
 
     /// What the caller says of the generation's size.
     pub fn size(&self, shared: &Shared) -> GenerationSize {
         let size = shared.protocol().generation_size(&self.request.headers);
-        size.unwrap_or(UNKNOWN_SIZE)
+        size.unwrap_or(DEFAULT_SIZE)
     }
 
     /// Chooses an upstream for `need`, but none of `avoid`.
@@ -206,7 +208,7 @@
         need: Need,
         avoid: &[InstanceId],
     ) -> Option<Candidate> {
-        let chosen = |breadth| choose(shared, need, &candidates(shared, self, avoid, breadth));
+        let chosen = |set| choose(shared, need, &candidates(shared, self, avoid, set));
         match CandidateSet::initial(shared, &self.service) {
             CandidateSet::All => chosen(CandidateSet::All),
             CandidateSet::Subset => chosen(CandidateSet::Subset)
@@ -227,25 +229,25 @@
     shared: &Shared,
     admitted: &Admitted,
     avoid: &[InstanceId],
-    breadth: CandidateSet,
+    set: CandidateSet,
 ) -> Vec<Candidate> {
     let now = shared.now();
     let track = admitted.track.get();
     let service = &admitted.service;
     let here = &shared.settings().data_centre;
     let (mut ready, any_cold) = shared.directory(|directory| {
-        let within = (breadth == CandidateSet::Subset).then_some(here);
-        let ready = directory.ready_for(service, track, within);
-        let ready = match within {
+        let local = (set == CandidateSet::Subset).then_some(here);
+        let ready = directory.ready_for(service, track, local);
+        let ready = match local {
             Some(_) => placement::subset(ready, &shared.settings().host),
             None => ready,
         };
         (ready, directory.any_cold(now))
     });
     if let Some(regions) = &admitted.regions {
-        ready.retain(|upstream| is_within(shared, &upstream.data_centre, regions));
+        ready.retain(|upstream| is_in_regions(shared, &upstream.data_centre, regions));
     }
-    let cut = cut_data_centres(shared, now, &ready);
+    let unreachable = unreachable_data_centres(shared, now, &ready);
     let loads = shared.loads();
     ready
         .into_iter()
@@ -254,29 +256,34 @@
         .map(|upstream| Candidate {
             load: loads.with(|loads| loads.at(&upstream.id)),
             reported: shared.reported_load(now, &upstream.id),
-            unhealthy: shared.is_avoided(now, &upstream.id) || cut.contains(&upstream.data_centre),
+            unhealthy: shared.is_avoided(now, &upstream.id)
+                || unreachable.contains(&upstream.data_centre),
             upstream,
         })
         .collect()
 }
 
 /// Whether a data centre lies in one of `regions`. One whose region isn't known lies in none.
-fn is_within(shared: &Shared, data_centre: &DataCentre, regions: &BTreeSet<RegionId>) -> bool {
+fn is_in_regions(shared: &Shared, data_centre: &DataCentre, regions: &BTreeSet<RegionId>) -> bool {
     let region = shared.settings().regions.get(data_centre);
     region.is_some_and(|region| regions.contains(region))
 }
 
 /// Where requests of a route and a customer may run: where both allow.
 fn allowed_regions(route: &Route, customer: Option<&Customer>) -> Option<BTreeSet<RegionId>> {
-    let of_customer = customer.and_then(|customer| customer.regions.as_ref());
-    match (route.regions.as_ref(), of_customer) {
+    let customer_regions = customer.and_then(|customer| customer.regions.as_ref());
+    match (route.regions.as_ref(), customer_regions) {
         (Some(route), Some(customer)) => Some(route & customer),
         (one, other) => one.or(other).cloned(),
     }
 }
 
-/// Other data centres of which at least [`CUT_UPSTREAMS`] upstreams can't be connected to.
-fn cut_data_centres(shared: &Shared, now: Time, ready: &[Arc<Upstream>]) -> Vec<DataCentre> {
+/// Other data centres of which at least [`UNREACHABLE_UPSTREAMS_MIN`] upstreams can't be connected to.
+fn unreachable_data_centres(
+    shared: &Shared,
+    now: Time,
+    ready: &[Arc<Upstream>],
+) -> Vec<DataCentre> {
     let here = &shared.settings().data_centre;
     let mut unreachable: BTreeMap<&DataCentre, usize> = BTreeMap::new();
     for upstream in ready {
@@ -286,22 +293,22 @@
     }
     unreachable
         .into_iter()
-        .filter(|(_, upstreams)| *upstreams >= CUT_UPSTREAMS)
+        .filter(|(_, upstreams)| *upstreams >= UNREACHABLE_UPSTREAMS_MIN)
         .map(|(data_centre, _)| data_centre.clone())
         .collect()
 }
 
 /// Serves one request of a caller.
 pub async fn serve(
-    front: web::Data<WorkerState>,
+    worker: web::Data<WorkerState>,
     http: HttpRequest,
     payload: web::Payload,
 ) -> HttpResponse {
-    let front = front.get_ref();
-    match admit(front, &http, payload).await {
+    let worker = worker.get_ref();
+    match admit(worker, &http, payload).await {
         Ok(admitted) => match admitted.route.kind {
-            RouteKind::Stream => stream::run(front, admitted).await,
-            RouteKind::Idempotent | RouteKind::Once => call::run(front, admitted).await,
+            RouteKind::Stream => stream::run(worker, admitted).await,
+            RouteKind::Idempotent | RouteKind::Once => call::run(worker, admitted).await,
         },
         Err(response) => response,
     }
@@ -309,18 +316,18 @@
 
 /// The filters before the upstream.
 async fn admit(
-    front: &WorkerState,
+    worker: &WorkerState,
     http: &HttpRequest,
     payload: web::Payload,
 ) -> Result<Admitted, HttpResponse> {
-    let shared = &front.shared;
+    let shared = &worker.shared;
     shared.check_suspension();
     let arrived = Instant::now();
     let pass = shared.gate().enter(RequestId::generate());
     let headers = forward::headers_of(http);
     let request = CallerRequest {
         method: http::Method::from_bytes(http.method().as_str().as_bytes()).unwrap_or_default(),
-        target: target_of(http),
+        target: request_target(http),
         headers,
         body: Bytes::new(),
     };
@@ -341,14 +348,20 @@
         let refusal = Refusal::not_run(Code::TooLarge, "the headers are longer than allowed");
         return Err(reject(refusal));
     }
-    let (route, service) = find_route(&configuration, http)
-        .ok_or_else(|| reject(stale_or(shared, Code::UnknownService, "no route matches")))?;
+    let (route, service) = find_route(&configuration, http).ok_or_else(|| {
+        reject(stale_aware_refusal(
+            shared,
+            Code::UnknownService,
+            "no route matches",
+        ))
+    })?;
     let customer =
         match identity::identify(&configuration, &route, &request.headers, names.key_scheme) {
             Caller::Known(customer) => Some(customer),
             Caller::Anonymous => None,
             Caller::Unauthorized => {
-                let refusal = stale_or(shared, Code::Unauthorized, "the key names no customer");
+                let refusal =
+                    stale_aware_refusal(shared, Code::Unauthorized, "the key names no customer");
                 return Err(reject(refusal));
             }
         };
@@ -362,7 +375,7 @@
     let own_priority = customer.as_ref().and_then(|customer| customer.priority);
     let customer = customer.map(|customer| customer.name.clone());
     Ok(Admitted {
-        fingerprint: fingerprint_of(&request, customer.as_ref()),
+        fingerprint: request_fingerprint(&request, customer.as_ref()),
         request,
         id,
         is_trial: Cell::new(false),
@@ -382,7 +395,7 @@
     })
 }
 
-fn fingerprint_of(request: &CallerRequest, customer: Option<&CustomerId>) -> Fingerprint {
+fn request_fingerprint(request: &CallerRequest, customer: Option<&CustomerId>) -> Fingerprint {
     Fingerprint::of(&Content {
         customer,
         method: request.method.as_str(),
@@ -400,7 +413,7 @@
         .sum()
 }
 
-fn target_of(http: &HttpRequest) -> String {
+fn request_target(http: &HttpRequest) -> String {
     let uri = http.uri();
     match uri.path_and_query() {
         Some(target) => target.as_str().to_owned(),
@@ -423,7 +436,7 @@
 }
 
 /// A host that may have missed a configuration doesn't deny what a newer one may allow.
-fn stale_or(shared: &Shared, code: Code, message: &str) -> Refusal {
+fn stale_aware_refusal(shared: &Shared, code: Code, message: &str) -> Refusal {
     if shared.may_be_stale() {
         let message = format!("{message}, and the configuration may be stale");
         return Refusal::not_run(Code::NotReady, message);
@@ -432,10 +445,10 @@
 }
 
 fn caller_timeout(request: &CallerRequest, names: &HeaderNames) -> Duration {
-    let asked = request.text(&names.deadline_ms);
-    let asked_ms = asked.and_then(|text| text.trim().parse::<f64>().ok());
-    let asked_ms = asked_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
-    asked_ms.map_or(Duration::MAX, request_time)
+    let header = request.text(&names.deadline_ms);
+    let timeout_ms = header.and_then(|text| text.trim().parse::<f64>().ok());
+    let timeout_ms = timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
+    timeout_ms.map_or(Duration::MAX, request_time)
 }
 
 async fn read_body(mut payload: web::Payload, bytes_max: usize) -> Result<Bytes, Refusal> {
@@ -455,8 +468,9 @@
 
 /// Refuses a request that no route or customer is known of.
 fn reject(shared: &Shared, id: &str, request: &CallerRequest, refusal: &Refusal) -> HttpResponse {
-    let line = shared.log().line(EventCode::RequestRefused);
-    line.with("request", id)
+    let entry = shared.log().line(EventCode::RequestRefused);
+    entry
+        .with("request", id)
         .with("target", request.target.as_str())
         .with("code", refusal.code.name())
         .with("config", shared.config_version())
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -125,8 +125,8 @@
 }
 
 /// Serves one request.
-pub async fn run(front: &WorkerState, admitted: Admitted) -> HttpResponse {
-    let shared = &front.shared;
+pub async fn run(worker: &WorkerState, admitted: Admitted) -> HttpResponse {
+    let shared = &worker.shared;
     let now = shared.now();
     shared.retry_budget(&admitted.service, |budget| budget.record_request(now));
     if let Some(refusal) = stopping::refuse_while_stopping(shared, &admitted) {
--- a/tests/slowreaders.rs
+++ b/tests/slowreaders.rs
@@ -22,7 +22,7 @@
 const HELD_BYTES_MAX: usize = 128 * 1_024;
 const CALLERS: usize = 64;
 /// The answers have stalled when nothing was taken for so long.
-const STALLED: Duration = Duration::from_millis(500);
+const STALL_TIME: Duration = Duration::from_millis(500);
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
@@ -40,12 +40,12 @@
         if sent != last.1 {
             last = (Instant::now(), sent);
         }
-        sent > 0 && last.0.elapsed() >= STALLED
+        sent > 0 && last.0.elapsed() >= STALL_TIME
     })
 }
 
 /// A caller that has sent its request.
-fn ask(world: &World, index: usize) -> Caller {
+fn send_request(world: &World, index: usize) -> Caller {
     let mut caller = Caller::connect_slow(world.callers());
     caller.send(format!(
         "POST /nets/7 HTTP/1.1\r\nhost: a.example\r\nauthorization: Key key-1\r\nrequest-id: r-{index}\r\ntokens: 40\r\ncontent-length: 6\r\n\r\nreport"
@@ -69,7 +69,9 @@
     let world = World::serving(json!([route_to("stream", "reports")]), &listed);
     let before = held_bytes();
 
-    let mut callers: Vec<Caller> = (0..CALLERS).map(|index| ask(&world, index)).collect();
+    let mut callers: Vec<Caller> = (0..CALLERS)
+        .map(|index| send_request(&world, index))
+        .collect();
     let have_stalled =
         callers.iter_mut().all(|caller| caller.read_until("id: 1")) && have_stalled(&engines);
     let held = held_bytes().saturating_sub(before) / CALLERS;
