--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -175,7 +175,12 @@
 
 /// What a host of `data_centre` that was not known is told at once: who reads the log, some hosts of the
 /// other data centres, and, if it has just started, those of its own.
-fn introduction(shared: &Shared, now: Time, data_centre: &DataCentre, sender: SenderStatus) -> Datagram {
+fn introduction(
+    shared: &Shared,
+    now: Time,
+    data_centre: &DataCentre,
+    sender: SenderStatus,
+) -> Datagram {
     let mut datagram = local_datagram(shared, now).log_only();
     shared.peers(|peers| {
         datagram.introduced = peers.introductions(now, data_centre);
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -14,9 +14,9 @@
 use super::is_held_back;
 use super::upstream;
 use crate::clock::Time;
-use crate::gateway::peers::REMOTE_PARTNERS;
 use crate::gateway::gossip::REMOTE_INTERVAL;
 use crate::gateway::gossip::round_interval;
+use crate::gateway::peers::REMOTE_PARTNERS;
 
 /// The share of datagrams that are lost.
 const LOSS_RATE: f64 = 0.1;
