--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -27,7 +27,7 @@
 
 /// Silence after which a host no longer counts as live: two gossip rounds to other data centres.
 const LIVENESS_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// Known hosts of another data centre from which on no introductions to more are needed: each of these
+/// Hosts of another data centre that a host must know to need no introductions there: each of them
 /// announces others in turn.
 const KNOWN_HOSTS_MIN: usize = 8;
 
@@ -108,7 +108,7 @@
 pub struct SenderStatus {
     /// The sender is new or back after a silence; for a remote sender, its whole data centre is.
     pub has_joined: bool,
-    /// No datagram of the sender was known, so it may not know this host either.
+    /// The sender was unknown, and may not know this host either.
     pub is_unknown: bool,
     /// The sender was unknown and counts less than half as many live hosts as this one.
     pub is_newcomer: bool,
--- a/src/gateway/peers/livecounts.rs
+++ b/src/gateway/peers/livecounts.rs
@@ -1,8 +1,8 @@
 //! Cached counts of the live hosts.
 //!
-//! Each datagram, round and request needs these counts. If each of them iterated over all hosts, the cost would
-//! grow with hosts times datagrams. Therefore all hosts are counted at an interval that grows with their number,
-//! and in between the counts are adjusted for hosts that join or stop.
+//! Each datagram, round and request needs these counts. If each of them iterated over all hosts, the cost
+//! would grow with hosts times datagrams. Therefore all hosts are counted at an interval that grows with
+//! their number, and in between the counts are adjusted for hosts that join or stop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
