--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,5 +1,5 @@
-//! Requests that are answered with a stream of events: sent to one engine, relayed event by event,
-//! moved to another engine where theirs is leaving.
+//! Handles requests that are answered with a stream of events: sends each to an engine, relays its events
+//! and moves its run to another engine if the first one is leaving.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -48,55 +48,56 @@
 #[cfg(test)]
 mod tests;
 
-/// Upstreams' lowest rank. Ranks of routes and customers go from 0.
+/// The lowest priority that upstreams know. Priorities of routes and customers start at 0, the most urgent.
 const PRIORITY_MAX: u8 = 9;
-/// What is planned for is this much longer than expected.
+/// Factor between the expected and the planned output.
 const HINT_MARGIN: f64 = 1.25;
-/// A caller's hint is right at the median and far off now and then: a short one is rather too short, a long one too
-/// long. Its weight in the geometric mean with a typical length,
+/// Weight of the caller's hint in its geometric mean with the typical output. Hints are right at the median
+/// but sometimes far off: short ones tend to be too short and long ones too long.
 const HINT_WEIGHT: f64 = 0.6;
-/// which is this part of the most that the request may produce.
+/// The typical output as a share of the most that the request may produce.
 const TYPICAL_OUTPUT_SHARE: f64 = 0.25;
-/// A generation that has produced what was planned is planned to produce this much more of it: hints are far off now
-/// and then, and one that has passed its hint goes on for long.
+/// Factor from the tokens that a generation has produced to those expected, once it exceeds its plan. A
+/// generation that outlasts its hint usually continues for long.
 const OVERRUN_FACTOR: f64 = 1.5;
-/// Time of one token at an engine with usual company; 8 to 11 ms were measured.
+/// Time per token at an engine under usual load, where tokens take 8 to 11 ms.
 const TOKEN_TIME: Duration = Duration::from_millis(11);
-/// Time for a generation's prompt, beside that of its tokens.
+/// Time allowed for a generation's prompt, in addition to that of its tokens.
 const PROMPT_TIME: Duration = Duration::from_millis(800);
 
-/// A run at an engine whose answer has begun.
+/// A run at an engine whose response has begun.
 #[derive(Debug)]
 struct ActiveRun {
     upstream: Arc<Upstream>,
     head: Parts,
     body: Incoming,
-    /// Closes with the run.
+    /// Closes when the run is dropped.
     _connection: Connection,
     load_guard: LoadGuard,
     sent_at: Instant,
-    /// Tokens to be read before its first event, its own among them.
+    /// Prompt tokens that the engine has to read before the run's first event, including the run's own.
     unread_tokens: u32,
 }
 
-/// What came of sending a request to an engine.
+/// The result of sending a request to an engine.
 enum OpenResult {
-    /// Its answer began.
+    /// The engine's response has begun.
     Running(Box<ActiveRun>),
-    /// It answered in whole with something other than a stream.
+    /// The engine sent a complete response that isn't a stream.
     Answered(WholeAnswer),
-    /// It was not sent, because no connection could be established.
+    /// The request was not sent, because no connection could be established.
     Unreachable(String),
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(String),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
-    /// No answer began in time.
+    /// No response began in time.
     TimedOut,
 }
 
 impl OpenResult {
-    /// Whether a continuation that came to this may be a repeat for upstreams. One that runs is the same run.
+    /// Whether a continuation with this result may be a retry for upstreams. A running one isn't: it is the
+    /// same run.
     fn may_count_as_retry(&self) -> bool {
         match self {
             OpenResult::Running(_) | OpenResult::Unreachable(_) => false,
@@ -108,16 +109,16 @@
     }
 }
 
-/// A request on its way to an engine.
+/// A request that is being sent to an engine.
 struct Dispatch<'a> {
     upstream: &'a Arc<Upstream>,
     load_guard: LoadGuard,
-    /// Tokens to be read there before its first event, its own among them.
+    /// Prompt tokens that the engine has to read before the first event, including the request's own.
     unread_tokens: u32,
     continuation: Option<&'a Continuation>,
 }
 
-/// Where a stream goes on.
+/// The point at which another engine continues a stream.
 #[derive(Debug, Clone)]
 struct Continuation {
     copy: HeaderValue,
@@ -205,7 +206,7 @@
     }
 }
 
-/// Where a request is sent; one to an engine may wait for room.
+/// Chooses where a request is sent. One that needs engine memory may wait in the queue.
 async fn choose_engine(
     shared: &Shared,
     admitted: &Admitted,
@@ -221,7 +222,7 @@
     }
 }
 
-/// How long a generation is expected to run.
+/// The time that a generation is expected to run.
 pub(crate) fn expected_duration(shared: &Shared, admitted: &Admitted) -> Duration {
     run_duration(planned_output(admitted.size(shared)))
 }
@@ -230,13 +231,14 @@
     PROMPT_TIME + TOKEN_TIME * output_tokens
 }
 
-/// Tokens that a generation produces by its caller's hint, with a margin; 0 where there is none.
+/// Tokens that a generation produces by its caller's hint, with a margin; 0 without a hint.
 fn hinted_tokens(size: GenerationSize) -> u32 {
     let hint = size.output_tokens_hint.unwrap_or(0);
     (f64::from(hint) * HINT_MARGIN) as u32
 }
 
-/// Tokens that a generation is expected to produce.
+/// Tokens that a generation is planned to produce: its hint weighted with the typical output, plus a margin,
+/// or the limit if there is no hint.
 fn planned_output(size: GenerationSize) -> u32 {
     let planned = size.output_tokens_hint.map(|hint| {
         let typical = (f64::from(size.output_tokens_max) * TYPICAL_OUTPUT_SHARE).max(1.0);
@@ -249,7 +251,7 @@
     })
 }
 
-/// Tokens that a generation is expected to produce which has produced so many.
+/// Tokens that a generation is expected to produce in all, given those that it has produced.
 fn expected_output(size: GenerationSize, produced: u32) -> u32 {
     let planned = planned_output(size);
     if produced < planned {
@@ -268,7 +270,7 @@
     admitted.refuse(shared, &admitted.no_upstream(shared, attempts, reason))
 }
 
-/// The memory that a generation is predicted to need.
+/// What the request needs of an upstream: a slot, or the engine memory that it is predicted to fill.
 fn need(shared: &Shared, admitted: &Admitted) -> Need {
     let Some(engine) = &admitted.engine else {
         return Need::Slot;
@@ -281,7 +283,7 @@
     }
 }
 
-/// Sends the request to an engine and waits until its answer begins.
+/// Sends the request to an engine and waits until the response begins or the deadline passes.
 async fn open(
     shared: &Shared,
     admitted: &Admitted,
@@ -345,8 +347,8 @@
         Ok(begun) => begun,
         Err(Unanswered::NotRun(reason)) => return OpenResult::NotRun(reason),
         Err(Unanswered::Unknown(reason)) => {
-            // An engine that crashes takes connections for a while and looks empty, so it would be
-            // chosen again and again by each host that has not seen it yet.
+            // A crashing engine accepts connections for a while and looks empty, so each host that hasn't
+            // noticed the crash would choose it again and again.
             shared.record_unreachable(&upstream.id, &reason);
             return OpenResult::Unknown(reason);
         }
@@ -374,7 +376,7 @@
     }
 }
 
-/// Passes the upstream's own failure on.
+/// Forwards the upstream's failure response to the caller and records the failure.
 fn forward_failure(
     shared: &Shared,
     admitted: &Admitted,
@@ -387,7 +389,7 @@
     call::pass_on(shared, admitted, upstream, answer, 1)
 }
 
-/// The head of the engine's answer, and its events as they come.
+/// Responds with the head of the engine's response and its events as they arrive.
 fn respond(
     shared: Shared,
     admitted: Admitted,
@@ -412,8 +414,8 @@
     }
 }
 
-/// A stream ends without its last event; the caller's connection breaks, so that the answer can't
-/// be taken for a whole one.
+/// A stream that ended before its last event. The caller's connection is closed abruptly, so that the response
+/// can't be mistaken for a complete one.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off: {0}")]
+#[error("stream aborted before its last event: {0}")]
 pub struct StreamAborted(String);
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -1,4 +1,4 @@
-//! The steps of moving a stream's run to another engine.
+//! Moves a stream's run to another engine when its own is leaving.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -31,36 +31,35 @@
 use crate::telemetry;
 use crate::telemetry::Metric;
 
-/// A run waits for its turn no longer than this after the notice. Runs that jump the line would make
-/// all of them late, and few engines live longer after it.
+/// Time after the notice until which a run waits for its turn in the move queue. Runs that jump the queue would
+/// delay all of them, and few engines live longer than this.
 const QUEUE_WAIT_MAX: Duration = Duration::from_millis(1_700);
-/// A run that is expected to end within this time isn't moved at first, so that the link is free for
-/// the others,
+/// A run that is expected to end within this time isn't moved at first, which leaves the link to longer runs.
 const SHORT_RUN_MAX: Duration = Duration::from_millis(700);
-/// but is after this time since the notice.
+/// Time after the notice from which short runs are moved too.
 const SHORT_RUN_DELAY: Duration = Duration::from_millis(600);
-/// How often it is looked whether such a run has ended.
+/// How often a short run is checked before that.
 const SHORT_RUN_CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Where no engine takes a run, one may be listed or taken back while the run's own engine lives; it is looked for
-/// again after this time.
+/// Delay before another search for a destination when no engine has room. One may be listed, or accept work
+/// again, while the run's own engine is alive.
 const DESTINATION_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A copy that met another one under way is tried again after this time.
+/// Delay before the next attempt at a move after a failed copy, such as one that met another in progress.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(25);
-/// Moves of one run that may fail before its fate is left to its engine.
+/// Moves begun for one run. After these it stays on its engine until either ends.
 const MOVES_MAX: u32 = 6;
 
-/// Runs leave an engine within this time of its notice; engines give 1.5 to 2.1 s.
+/// Time after an engine's notice within which its runs leave it. Engines leave 1.5 to 2.1 s after it.
 const MOVE_WINDOW: Duration = Duration::from_millis(2_500);
-/// An engine whose predicted memory is taken to this share is no destination while others have room.
+/// Share of an engine's memory up to which its predicted use may grow for it to be a preferred destination.
 const DESTINATION_MEMORY_SHARE_MAX: f64 = 0.9;
 
 pub(super) type CopyResult = std::result::Result<CopyDone, CopyFailure>;
 
-/// How far a move has come.
+/// The state of a move.
 pub(super) enum MoveState {
-    /// None is needed.
+    /// No move is needed.
     None,
-    /// The run waits for its turn.
+    /// The run waits in the move queue.
     Queued {
         ticket: LocalBoxFuture<'static, Ticket>,
     },
@@ -70,30 +69,30 @@
         guards: MoveGuards,
         copying: LocalBoxFuture<'static, CopyResult>,
     },
-    /// The first part is copied; the run is stopped at `stop_at`, after another copy of it.
+    /// The first part is copied, but another copy of the run is in progress. The run is stopped at `stop_at`.
     Copied {
         to: Arc<Upstream>,
         guards: MoveGuards,
         stop_at: Instant,
     },
-    /// The run is being stopped and its rest copied.
+    /// The run is being stopped and the rest of its memory copied.
     CopyingRest {
         to: Arc<Upstream>,
         guards: MoveGuards,
         copying: LocalBoxFuture<'static, CopyResult>,
     },
-    /// The next try begins at this time.
+    /// The next attempt begins at `until`.
     Paused { until: Instant },
 }
 
-/// What a move holds until the run goes on elsewhere.
+/// The reserved memory at the destination and the place in the move queue, released when the move ends.
 pub(super) struct MoveGuards {
     _load: LoadGuard,
     _ticket: Ticket,
 }
 
 impl Relay {
-    /// Begins a move if the engine is leaving.
+    /// Begins a move if the engine is leaving and none is in progress.
     pub(super) fn check_leaving(&mut self) {
         if !matches!(self.moving, MoveState::None) || !self.can_move() {
             return;
@@ -119,7 +118,7 @@
         engine.is_some_and(|engine| engine.moves) && self.moves < MOVES_MAX
     }
 
-    /// Joins the line of the runs that leave the engine.
+    /// Joins the queue of the runs that leave the engine.
     fn join_queue(&mut self) {
         let ticket = Ticket::join(&self.shared, &self.running.upstream.id);
         let notice = self.leaving_since.unwrap_or_else(Instant::now);
@@ -128,7 +127,7 @@
         };
     }
 
-    /// Starts to copy the run's memory to the engine with the most room.
+    /// Chooses a destination and starts to copy the run's memory there, or pauses if there is none.
     pub(super) fn begin_move(&mut self, ticket: Ticket) {
         self.avoid.push(self.running.upstream.id.clone());
         let Some(to) = self.choose_destination() else {
@@ -139,13 +138,13 @@
         };
         self.moves += 1;
         ticket.set_destination(&to.id);
-        // Reserves what the run will need when it goes on there.
+        // Reserves the memory that the run will need when it continues there.
         self.shared.record_send(&to);
         self.log_move("copying", Some(&to));
         let size = self.admitted.size(&self.shared);
         let tokens = size.prompt_tokens + planned_output(size);
         let guards = MoveGuards {
-            // Its link takes one copy after another, so the copy counts as unread until it is used.
+            // A link takes one copy after another, so the tokens count as unread until the run continues.
             _load: self.shared.loads().add_request(&to.id, tokens, tokens),
             _ticket: ticket,
         };
@@ -179,7 +178,7 @@
         };
     }
 
-    /// Whether the run is expected to end by itself before its engine does.
+    /// Whether the run is expected to end before its engine does, so that it needs no move.
     fn ends_soon(&self) -> bool {
         if self.admitted.engine.is_none() {
             return true;
@@ -189,9 +188,9 @@
         TOKEN_TIME * planned.saturating_sub(produced) < SHORT_RUN_MAX && produced < planned
     }
 
-    /// Where the run goes: to an engine that takes runs of no other near leaving engine; if none of
-    /// those has room, to one that takes runs of no other leaving engine at all; else to any. Engines to
-    /// which others are being copied now are passed over as long as there is another one.
+    /// Chooses the engine to move the run to. Engines assigned to this run's engine among those leaving in
+    /// its data centre come first, then those assigned to it among all that are leaving, then any engine.
+    /// One that is receiving a copy from another engine is used only if there is no other.
     fn choose_destination(&self) -> Option<Arc<Upstream>> {
         let engine = self.admitted.engine.as_ref()?;
         let size = self.admitted.size(&self.shared);
@@ -219,7 +218,7 @@
         Some(candidate.upstream)
     }
 
-    /// Those of `candidates` to which no run of another engine is being copied.
+    /// Removes the candidates to which a run of another engine is being copied.
     fn exclude_busy(&self, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
         let now = self.shared.now();
         let source = &self.running.upstream.id;
@@ -229,7 +228,7 @@
         candidates
     }
 
-    /// The engines that take runs of this run's engine and of no other one.
+    /// The engines that are assigned to this run's engine and to no other leaving one.
     fn assigned_destinations(&self, scope: Scope) -> BTreeSet<InstanceId> {
         let now = self.shared.now();
         let service = &self.admitted.service;
@@ -240,6 +239,7 @@
         destinations::assign(&self.running.upstream.id, &leaving, &ready, scope)
     }
 
+    /// Handles the result of copying the first part: stops the run, or pauses before the next attempt.
     pub(super) fn on_first_copied(&mut self, result: CopyResult) {
         let moving = std::mem::replace(&mut self.moving, MoveState::None);
         let MoveState::CopyingFirst { to, guards, .. } = moving else {
@@ -253,7 +253,7 @@
             Err(failure) => {
                 self.log_move(&failure.describe(), Some(&to));
                 match failure {
-                    // It is about to end by itself, or has not begun to run.
+                    // The run is about to end, or hasn't begun.
                     CopyFailure::NoSuchRun | CopyFailure::Busy => {}
                     CopyFailure::NoRoom(_) | CopyFailure::Unknown(_) => {
                         self.avoid.push(to.id.clone());
@@ -264,6 +264,7 @@
         }
     }
 
+    /// Continues a move whose delay has passed.
     pub(super) fn on_timer(&mut self) {
         match std::mem::replace(&mut self.moving, MoveState::None) {
             MoveState::Copied { to, guards, .. } => self.copy_rest(to, guards),
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Stops the run and copies its rest.
+    /// Stops the run and starts to copy the rest of its memory.
     pub(super) fn copy_rest(&mut self, to: Arc<Upstream>, guards: MoveGuards) {
         self.log_move("stopping", Some(&to));
         let copying = self.start_copy(&to, true);
@@ -283,11 +284,12 @@
         };
     }
 
-    /// The run was stopped and copied, or not.
+    /// Handles the result of stopping the run and copying the rest: continues it at the destination, or at
+    /// its source if the destination had no room, or tries again.
     ///
     /// # Errors
     ///
-    /// Why the stream can't go on.
+    /// Returns the reason why the stream can't continue.
     pub(super) async fn on_rest_copied(&mut self, result: CopyResult) -> Result<(), String> {
         let moving = std::mem::replace(&mut self.moving, MoveState::None);
         let MoveState::CopyingRest { to, guards, .. } = moving else {
@@ -297,7 +299,7 @@
         match result {
             Ok(done) => {
                 self.log_move(&format!("stopped at event {}", done.events), Some(&to));
-                // The link is free for the next run.
+                // Frees the link for the next run.
                 drop(guards);
                 self.continue_at(&to, &source, &done.handle).await
             }
@@ -326,7 +328,11 @@
         }
     }
 
-    /// Continues the run at `to`, from the copy that `source` made.
+    /// Continues the run at `to` from the memory that `source` keeps under `handle`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason why the stream can't continue.
     pub(super) async fn continue_at(
         &mut self,
         to: &Arc<Upstream>,
@@ -379,7 +385,8 @@
         }
     }
 
-    /// Continues the run where it was stopped, unless that is new work which operators forbid there.
+    /// Continues the run at the engine where it was stopped, unless that data centre is evacuated: a
+    /// continuation counts as new work, which may not start there.
     async fn continue_at_source(
         &mut self,
         source: &Arc<Upstream>,
@@ -396,6 +403,7 @@
         self.continue_at(source, source, handle).await
     }
 
+    /// Logs a step of the move with its outcome.
     pub(super) fn log_move(&self, outcome: &str, to: Option<&Arc<Upstream>>) {
         let since = self.leaving_since.map(|since| since.elapsed().as_millis());
         let entry = self
@@ -411,6 +419,7 @@
     }
 }
 
+/// Waits for the event that ends the current state of the move; forever in states that end by a timer.
 pub(super) async fn next_step(moving: &mut MoveState) -> RelayEvent {
     match moving {
         MoveState::Queued { ticket } => RelayEvent::MayMove(ticket.await),
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -1,4 +1,4 @@
-//! Relays one stream and moves its run off a leaving engine.
+//! Relays one stream to its caller and drives the move of its run off a leaving engine.
 
 use std::time::Duration;
 
@@ -28,15 +28,15 @@
 use crate::telemetry::Metric;
 use crate::telemetry::StreamMeter;
 
-/// The pace of a stream is that of so many events.
+/// Events over which the pace of a stream is measured.
 const PACE_EVENTS: u64 = 8;
 
-/// One stream on its way to its caller.
+/// A stream that is being relayed to its caller.
 pub(super) struct Relay {
     pub(super) shared: Shared,
     pub(super) admitted: Admitted,
     pub(super) running: ActiveRun,
-    /// The engine's stream has broken off; a move may still continue it.
+    /// Why the engine's stream broke off, if it did; a move may still continue it.
     pub(super) stream_error: Option<String>,
     pub(super) splitter: EventSplitter,
     pub(super) changes: watch::Receiver<u64>,
@@ -47,18 +47,18 @@
     pub(super) meter: StreamMeter,
     pub(super) first_ms: Option<f64>,
     first_at: Option<Instant>,
-    /// Whether its pace was told.
+    /// Whether the pace has been recorded.
     pace_recorded: bool,
-    /// Tokens that it is expected to produce.
+    /// Tokens that the run is expected to produce in all.
     expected_tokens: u32,
     pub(super) last_at: Instant,
     pub(super) gap_max: Duration,
     pub(super) ended: bool,
-    /// What it counts for its customer.
+    /// Counts the stream's tokens for its customer while it runs.
     running_guard: RunningGuard,
 }
 
-/// What happened next.
+/// An event that a relay waits for.
 pub(super) enum RelayEvent {
     Frame(Option<Result<Bytes, String>>),
     DirectoryChanged,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The next whole events, or none after the last one.
+    /// Returns the next complete events, or `None` after the last one.
     pub(super) async fn next(&mut self) -> Option<Result<Bytes, StreamAborted>> {
         loop {
             match self.next_event().await {
@@ -124,7 +124,7 @@
                     self.stream_error = Some("ended within an event".to_owned())
                 }
                 RelayEvent::Frame(Some(Err(reason))) => self.stream_error = Some(reason),
-                // Timers don't count a suspension of the host, which is told in the same way.
+                // Timers don't count a suspension of the host; its end is notified as a directory change.
                 RelayEvent::DirectoryChanged if self.admitted.time_left().is_zero() => {
                     return self.fail("the deadline passed");
                 }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Events go out to the caller.
+    /// Records that events go out to the caller.
     fn record_events(&mut self) {
         self.meter.token(self.shared.now());
         self.running.load_guard.mark_prompt_read();
@@ -164,8 +164,8 @@
         self.last_at = now;
     }
 
-    /// Counts more memory for a run that has produced what was planned. Ten long answers whose hints are short would
-    /// else fill an engine that looks half empty.
+    /// Reserves more memory for a run that has produced its planned output. Otherwise ten long answers with
+    /// short hints would fill an engine that looks half empty.
     fn grow_reservation(&mut self) {
         let produced = self.produced_tokens();
         if produced < self.expected_tokens {
@@ -177,7 +177,7 @@
         self.running.load_guard.grow_to(tokens);
     }
 
-    /// Tokens of the events that went out to the caller.
+    /// Tokens in the events sent to the caller.
     pub(super) fn produced_tokens(&self) -> u32 {
         let engine = self.admitted.engine.as_ref();
         let of_event = engine.map_or(1, |engine| engine.tokens_per_event);
@@ -185,7 +185,7 @@
         u32::try_from(produced).unwrap_or(u32::MAX)
     }
 
-    /// Tells how fast the stream is once it has passed some events.
+    /// Records the pace of the stream once [`PACE_EVENTS`] events have been sent.
     fn record_pace(&mut self, now: Instant) {
         let Some(first_at) = self.first_at else {
             return;
@@ -216,7 +216,7 @@
         });
     }
 
-    /// Where the stream has broken off, whether a move is under way that will continue it.
+    /// Whether a stream that broke off is going to be continued by a move in progress.
     fn will_continue(&self) -> bool {
         matches!(self.moving, MoveState::CopyingRest { .. })
     }
--- a/src/gateway/stream/stopping.rs
+++ b/src/gateway/stream/stopping.rs
@@ -1,5 +1,5 @@
-//! Which generations a host that stops still takes: none that it would have to cut, since the
-//! caller's next try reaches another host.
+//! Decides which generations a host that is shutting down still accepts. It refuses those that it would
+//! have to abort, because the caller's next attempt reaches another host.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::gateway::shared::Shared;
 use crate::refusal::Refusal;
 
-/// For so long callers can't know that the host stops: until the balancer has noticed (2 s) and what
-/// was under way has arrived. What comes later over an old connection must certainly finish.
+/// Time within which new requests still arrive: the load balancer needs 2 s to notice the shutdown, and
+/// requests in transit arrive after that. Later ones come over old connections and must be certain to finish.
 const NOTICE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// The refusal of a generation that would not finish before the host ends.
+/// Returns the refusal of a generation that would not finish before the host exits.
 pub(super) fn refuse_while_stopping(shared: &Shared, admitted: &Admitted) -> Option<Refusal> {
     let left = shared.shutdown_time_left()?;
     let stopping_for = shared.settings().grace.saturating_sub(left);
@@ -27,9 +27,8 @@
     }
 }
 
-/// Whether a generation finishes within `left` on a host that has been stopping for `stopping_for`:
-/// by its caller's hint at first, and by the most that it may produce later, as hints are far off now
-/// and then.
+/// Whether a generation finishes within `left` on a host that has been shutting down for `stopping_for`.
+/// The estimate uses the caller's hint at first and the output limit later, because some hints are far off.
 fn finishes_in_time(size: GenerationSize, stopping_for: Duration, left: Duration) -> bool {
     let output_tokens = match stopping_for < NOTICE_DELAY {
         true => cautious_output(size),
@@ -38,7 +37,7 @@
     run_duration(output_tokens) < left
 }
 
-/// The longer of what is planned and of what the hint says: a stream that outlasts the grace is cut.
+/// The larger of the planned output and the hinted one: a stream that outlasts the grace period is aborted.
 fn cautious_output(size: GenerationSize) -> u32 {
     let planned = planned_output(size);
     let hinted_tokens = hinted_tokens(size).min(size.output_tokens_max);
--- a/src/gateway/stream/tests.rs
+++ b/src/gateway/stream/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn hints_far_from_the_typical_length_are_believed_in_part() {
+fn hints_far_from_the_typical_length_are_weighted_with_it() {
     let planned = [30, 400, 5_000].map(|hint| planned_output(size(Some(hint))));
 
     assert!((38..500).contains(&planned[0]), "{planned:?}");
@@ -21,13 +21,14 @@
 }
 
 #[test]
-fn without_a_hint_the_most_is_planned() {
+fn without_a_hint_the_output_limit_is_planned() {
     assert_eq!(planned_output(size(None)), 1_600);
 }
 
-// Runs whose hints were short went on unseen: engines that looked half empty preempted streams.
+// Guards against engines that look half empty but preempt streams, because runs that outlast a short hint
+// count with too little memory.
 #[test]
-fn a_run_that_has_passed_its_plan_is_expected_to_go_on() {
+fn a_run_that_exceeds_its_plan_is_expected_to_continue() {
     let planned = planned_output(size(Some(100)));
 
     let expected =
