--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! The path of a request: route, identify, read, then call or stream.
+//! Handles callers' requests: routes and identifies them, reads the body, then calls an upstream or streams.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -58,31 +58,31 @@
 use crate::refusal::Refusal;
 use crate::telemetry;
 
-/// What is assumed of a generation that tells nothing of its size, in tokens.
+/// The size assumed for a generation whose request doesn't state it, in tokens.
 const DEFAULT_SIZE: GenerationSize = GenerationSize {
     prompt_tokens: 1_000,
     output_tokens_max: 1_000,
     output_tokens_hint: None,
 };
 
-/// A caller whose service is evacuated everywhere may come back after this time, in milliseconds: an evacuation
-/// that has ended meanwhile is over on all hosts by then.
+/// Retry delay in milliseconds for callers whose service is evacuated in all data centres. All hosts learn
+/// within this time that an evacuation has ended.
 const EVACUATED_RETRY_AFTER_MS: u64 = 1_000;
 
-/// So many upstreams of another data centre that can't be connected to are taken for a cut.
+/// Unreachable upstreams from which another data centre counts as unreachable.
 const UNREACHABLE_UPSTREAMS_MIN: usize = 2;
 
-/// At which upstreams a request looks.
+/// The upstreams that a request is placed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateSet {
-    /// A few of the own data centre, where there are many.
+    /// A subset of those in the host's data centre, which has many.
     Subset,
-    /// All.
+    /// All upstreams of the service.
     All,
 }
 
 impl CandidateSet {
-    /// At which upstreams of a service a request looks at first.
+    /// The upstreams of a service that a request considers first.
     pub fn initial(shared: &Shared, service: &ServiceId) -> Self {
         let here = &shared.settings().data_centre;
         match shared.directory(|directory| directory.count_in(service, here))
@@ -94,7 +94,7 @@
     }
 }
 
-/// What one worker's handlers use.
+/// The state that the handlers of one worker thread use.
 #[derive(Debug, Clone)]
 pub struct WorkerState {
     /// The host's state.
@@ -104,7 +104,7 @@
 }
 
 impl WorkerState {
-    /// The state of one worker thread.
+    /// Creates the state of a worker thread, with an empty connection pool.
     pub fn new(shared: Shared) -> Self {
         WorkerState {
             shared,
@@ -113,52 +113,52 @@
     }
 }
 
-/// A request that passed the filters before the upstream.
+/// A request that has been routed, identified and read.
 #[derive(Debug)]
 pub struct Admitted {
-    /// What the caller sent.
+    /// The request as the caller sent it.
     pub request: CallerRequest,
-    /// Its id, for logs.
+    /// The caller's id of the request, for logs.
     pub id: String,
-    /// Of its content, which a repeat under another id shares.
+    /// A hash of its content, which a repeat under another id shares.
     pub fingerprint: Fingerprint,
-    /// Whether it is the trial of a content that is held back.
+    /// Whether it is the trial of a suspect request whose repeats are held back.
     pub is_trial: Cell<bool>,
     /// Its route.
     pub route: Arc<Route>,
-    /// The service that its route chose.
+    /// The service chosen by its route.
     pub service: ServiceId,
-    /// The service's engines, if it runs generations.
+    /// The engines of the service, if it runs generations.
     pub engine: Option<EngineSpec>,
-    /// Whose it is.
+    /// The customer who sent it; none if the route allows anonymous requests.
     pub customer: Option<CustomerId>,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u8,
     /// When its head was read.
     pub arrived: Instant,
-    /// When the caller or the route gives up, for timers,
+    /// When the caller's or the route's timeout ends, for timers, which don't count suspensions of the host.
     pub deadline: Instant,
-    /// and by a clock that counts suspensions.
+    /// The same deadline by a clock that counts suspensions.
     pub deadline_at: Time,
-    /// That clock.
+    /// The clock of `deadline_at`.
     pub clock: SystemClock,
-    /// Which upstreams it may go to while a version is tried.
+    /// The upstreams it may go to while a version is on trial.
     pub track: Cell<Track>,
-    /// The regions in which it may run; none where it may run anywhere.
+    /// The regions in which it may run; `None` allows all.
     pub regions: Option<BTreeSet<RegionId>>,
-    /// The version of the configuration that it is served by.
+    /// The version of the configuration under which it was admitted.
     pub config_version: u64,
-    /// Counts it until it ends.
+    /// Counts the request as running until it is dropped.
     pub pass: Pass,
 }
 
 impl Admitted {
-    /// What is left of its time.
+    /// Time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline_at.since(self.clock.now())
     }
 
-    /// A log line of this request.
+    /// Starts a log entry about this request.
     pub fn log_entry(&self, shared: &Shared, code: EventCode) -> Line {
         let ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
         let entry = shared.log().line(code);
@@ -172,7 +172,7 @@
             .with("after_ms", ms)
     }
 
-    /// Refuses or fails the request; writes the line that says why.
+    /// Responds with a refusal, logs it and counts it.
     pub fn refuse(&self, shared: &Shared, refusal: &Refusal) -> HttpResponse {
         let entry = self.log_entry(shared, EventCode::RequestRefused);
         entry
@@ -184,7 +184,7 @@
         refuse::response(refusal, shared.closes_connections())
     }
 
-    /// The refusal of a request for which no upstream is left after `tries`; it has not run.
+    /// The refusal of a request that has not run and has no upstream left after `attempts`.
     pub fn no_upstream(&self, shared: &Shared, attempts: usize, reason: &str) -> Refusal {
         if shared.directory(|directory| directory.is_evacuated(&self.service)) {
             let message = format!("not run after {attempts} tries: its data centres are evacuated");
@@ -195,13 +195,13 @@
         Refusal::not_run(Code::NoUpstream, message)
     }
 
-    /// What the caller says of the generation's size.
+    /// The generation's size as the caller states it, or [`DEFAULT_SIZE`].
     pub fn size(&self, shared: &Shared) -> GenerationSize {
         let size = shared.protocol().generation_size(&self.request.headers);
         size.unwrap_or(DEFAULT_SIZE)
     }
 
-    /// Chooses an upstream for `need`, but none of `avoid`.
+    /// Chooses an upstream for `need`, leaving out those of `avoid`.
     pub fn choose_upstream(
         &self,
         shared: &Shared,
@@ -218,13 +218,13 @@
     }
 }
 
-/// Chooses one of `candidates`, as seen from this host.
+/// Chooses one of `candidates` for `need`, as this host sees the fleet.
 pub fn choose(shared: &Shared, need: Need, candidates: &[Candidate]) -> Option<Candidate> {
     placement::choose(need, candidates, shared.view(), rand::random::<f64>)
 }
 
-/// The upstreams that a request may go to. Where two of another data centre can't be connected
-/// to, a cut is likelier than two failures, and all of it is in doubt.
+/// The upstreams that a request may go to. If [`UNREACHABLE_UPSTREAMS_MIN`] of another data centre are
+/// unreachable, a partition is likelier than as many failures, so all its upstreams count as unhealthy.
 pub fn candidates(
     shared: &Shared,
     admitted: &Admitted,
@@ -263,13 +263,13 @@
         .collect()
 }
 
-/// Whether a data centre lies in one of `regions`. One whose region isn't known lies in none.
+/// Whether a data centre is in one of `regions`; one of unknown region is in none.
 fn is_in_regions(shared: &Shared, data_centre: &DataCentre, regions: &BTreeSet<RegionId>) -> bool {
     let region = shared.settings().regions.get(data_centre);
     region.is_some_and(|region| regions.contains(region))
 }
 
-/// Where requests of a route and a customer may run: where both allow.
+/// The regions in which both the route and the customer allow a request to run; `None` allows all.
 fn allowed_regions(route: &Route, customer: Option<&Customer>) -> Option<BTreeSet<RegionId>> {
     let customer_regions = customer.and_then(|customer| customer.regions.as_ref());
     match (route.regions.as_ref(), customer_regions) {
@@ -278,7 +278,7 @@
     }
 }
 
-/// Other data centres of which at least [`UNREACHABLE_UPSTREAMS_MIN`] upstreams can't be connected to.
+/// Other data centres with at least [`UNREACHABLE_UPSTREAMS_MIN`] unreachable upstreams.
 fn unreachable_data_centres(
     shared: &Shared,
     now: Time,
@@ -298,7 +298,7 @@
         .collect()
 }
 
-/// Serves one request of a caller.
+/// Handles one request of a caller.
 pub async fn serve(
     worker: web::Data<WorkerState>,
     http: HttpRequest,
@@ -314,7 +314,7 @@
     }
 }
 
-/// The filters before the upstream.
+/// Routes, identifies and reads a request, or responds with the reason why it is refused.
 async fn admit(
     worker: &WorkerState,
     http: &HttpRequest,
@@ -405,7 +405,7 @@
     })
 }
 
-/// Bytes of all headers as they are written: name, colon, space, value and line end.
+/// Bytes of all headers on the wire: name, colon, space, value and line end.
 fn header_bytes(headers: &HeaderMap) -> usize {
     let headers = headers.iter();
     headers
@@ -435,7 +435,7 @@
     Some((route.clone(), service.clone()))
 }
 
-/// A host that may have missed a configuration doesn't deny what a newer one may allow.
+/// The refusal for `code`, or `NotReady` if the configuration may be stale: a newer one may allow the request.
 fn stale_aware_refusal(shared: &Shared, code: Code, message: &str) -> Refusal {
     if shared.may_be_stale() {
         let message = format!("{message}, and the configuration may be stale");
@@ -466,7 +466,7 @@
     Ok(body.freeze())
 }
 
-/// Refuses a request that no route or customer is known of.
+/// Refuses a request before it is admitted, when its route or customer may be unknown.
 fn reject(shared: &Shared, id: &str, request: &CallerRequest, refusal: &Refusal) -> HttpResponse {
     let entry = shared.log().line(EventCode::RequestRefused);
     entry
