--- a/src/gateway/transferguard.rs
+++ b/src/gateway/transferguard.rs
@@ -1,10 +1,10 @@
-//! A transfer to another host that counts as under way until it is dropped, be it that its receiver is gone.
+//! Counts a transfer to another host as in progress until its guard is dropped, even if the receiver has gone.
 
 use crate::gateway::document::transfers::Ticket;
 use crate::gateway::peers::Fetch;
 use crate::gateway::shared::Shared;
 
-/// A transfer that was admitted.
+/// An admitted transfer, which ends when this is dropped.
 pub(crate) struct TransferGuard {
     shared: Shared,
     kind: Fetch,
@@ -12,7 +12,7 @@
 }
 
 impl TransferGuard {
-    /// Admits a transfer, unless enough of the same are under way.
+    /// Admits a transfer, unless enough of its kind are in progress.
     pub(crate) fn begin(shared: &Shared, kind: Fetch) -> Option<Self> {
         let now = shared.now();
         let ticket = shared.transfers(kind, |transfers| transfers.begin(now))?;
@@ -23,7 +23,7 @@
         })
     }
 
-    /// The receiver took what was sent before.
+    /// Records that the receiver has taken the bytes sent so far.
     pub(crate) fn record_progress(&self) {
         let now = self.shared.now();
         self.shared.transfers(self.kind, |transfers| {
--- a/tests/slowreaders.rs
+++ b/tests/slowreaders.rs
@@ -1,4 +1,4 @@
-//! What a host holds for callers that don't read their answers.
+//! Memory that a host holds for callers that don't read their responses.
 
 #[allow(dead_code, unused_imports, reason = "tests/gateway uses the rest")]
 mod gatewayworld;
@@ -18,10 +18,10 @@
 use crate::gatewayworld::route_to;
 use crate::gatewayworld::wait_until;
 
-/// Twice the fixed buffers of a stream's two connections.
+/// Bytes per caller: twice the fixed buffers of a stream's two connections.
 const HELD_BYTES_MAX: usize = 128 * 1_024;
 const CALLERS: usize = 64;
-/// The answers have stalled when nothing was taken for so long.
+/// The streams have stalled once nothing has been read from the engines for this time.
 const STALL_TIME: Duration = Duration::from_millis(500);
 
 #[global_allocator]
@@ -32,7 +32,7 @@
     stats.bytes_allocated - stats.bytes_deallocated
 }
 
-/// Whether nothing more was taken from the engines for a while.
+/// Waits until nothing has been read from the engines for [`STALL_TIME`]; false if that doesn't happen.
 fn have_stalled(engines: &[FakeUpstream]) -> bool {
     let mut last = (Instant::now(), 0);
     wait_until(|| {
@@ -44,7 +44,7 @@
     })
 }
 
-/// A caller that has sent its request.
+/// Connects a caller that reads slowly and sends its request.
 fn send_request(world: &World, index: usize) -> Caller {
     let mut caller = Caller::connect_slow(world.callers());
     caller.send(format!(
@@ -53,9 +53,10 @@
     caller
 }
 
-// For each caller that read nothing of a fast stream 0.7 MB were read from its engine and held.
+// Guards against unbounded read-ahead: 0.7 MB per caller were once read from an engine with a fast stream and
+// held for a caller that read nothing.
 #[test]
-fn callers_that_read_nothing_are_held_little_for() {
+fn memory_held_for_a_caller_that_reads_nothing_is_bounded() {
     let endless = Behaviour::Events {
         to: u64::MAX,
         break_after: None,
@@ -77,5 +78,5 @@
     let held = held_bytes().saturating_sub(before) / CALLERS;
 
     assert!(have_stalled);
-    assert!(held <= HELD_BYTES_MAX, "{held} bytes a caller");
+    assert!(held <= HELD_BYTES_MAX, "{held} bytes per caller");
 }
