--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -125,7 +125,7 @@
     last_event: u64,
 }
 
-/// Serves one request.
+/// Handles one request: tries engines until one responds or no attempt is left, then relays its stream.
 pub async fn run(worker: &WorkerState, admitted: Admitted) -> HttpResponse {
     let shared = &worker.shared;
     let now = shared.now();
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -31,8 +31,8 @@
 use crate::telemetry;
 use crate::telemetry::Metric;
 
-/// Time after the notice until which a run waits for its turn in the move queue. Runs that jump the queue would
-/// delay all of them, and few engines live longer than this.
+/// Time after the notice until which a run waits for its turn in the move queue. Runs that jump the queue
+/// would delay all of them, and few engines live longer than this.
 const QUEUE_WAIT_MAX: Duration = Duration::from_millis(1_700);
 /// A run that is expected to end within this time isn't moved at first, which leaves the link to longer runs.
 const SHORT_RUN_MAX: Duration = Duration::from_millis(700);
@@ -45,12 +45,13 @@
 const DESTINATION_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Delay before the next attempt at a move after a failed copy, such as one that met another in progress.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(25);
-/// Moves begun for one run. After these it stays on its engine until either ends.
+/// Moves that are begun for one run. After these it stays on its engine until either ends.
 const MOVES_MAX: u32 = 6;
 
 /// Time after an engine's notice within which its runs leave it. Engines leave 1.5 to 2.1 s after it.
 const MOVE_WINDOW: Duration = Duration::from_millis(2_500);
-/// Share of an engine's memory up to which its predicted use may grow for it to be a preferred destination.
+/// Share of an engine's memory below which its predicted use, the run included, must stay for it to be preferred
+/// as a destination.
 const DESTINATION_MEMORY_SHARE_MAX: f64 = 0.9;
 
 pub(super) type CopyResult = std::result::Result<CopyDone, CopyFailure>;
@@ -85,7 +86,8 @@
     Paused { until: Instant },
 }
 
-/// The reserved memory at the destination and the place in the move queue, released when the move ends.
+/// The reserved memory at the destination and the place in the move queue. Dropped once the run is stopped, which
+/// frees the link for the next move, or when the move fails.
 pub(super) struct MoveGuards {
     _load: LoadGuard,
     _ticket: Ticket,
