--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -1,6 +1,6 @@
-//! What hosts tell each other in one datagram, and its encoding.
+//! The datagrams exchanged between hosts, and their encoding.
 //!
-//! Every host sends to every other of its data centre, so bytes count: the encoding is binary
+//! Every host sends to every other host of its data centre, so size matters: the encoding is binary
 //! ([`postcard`]), a third of the size of JSON here (docs/MEASUREMENTS.md).
 
 use std::net::SocketAddr;
@@ -25,27 +25,27 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// Largest datagram that crosses a network whole.
+/// Largest datagram that is delivered without IP fragmentation.
 pub(crate) const DATAGRAM_BYTES_MAX: usize = 1_400;
-/// Changes of upstreams in one datagram, at most 90 bytes each, so that the rest has room beside them.
+/// Upstream changes in one datagram. Each takes up to 90 bytes; the other fields need the remaining space.
 pub(crate) const PART_CHANGES_MAX: usize = 10;
-/// First byte of a datagram; rises with each change of its fields, so that hosts of two releases
-/// side by side don't misread each other.
+/// First byte of a datagram. Incremented whenever the fields change, so that hosts of different
+/// releases don't misinterpret each other's datagrams.
 const FORMAT: u8 = 11;
-/// The same of one that tells changes alone.
+/// First byte of a datagram with [`AnnouncedChanges`].
 const CHANGES_FORMAT: u8 = 0x80 | FORMAT;
 
-/// Topics of the log.
+/// A set of log topics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Topics {
-    /// What operators publish.
+    /// [`Topic::Operator`].
     pub operator: bool,
-    /// The upstreams.
+    /// [`Topic::Upstreams`].
     pub upstreams: bool,
 }
 
 impl Topics {
-    /// Whether `topic` is among them.
+    /// Whether the set contains `topic`.
     pub fn contains(self, topic: Topic) -> bool {
         match topic {
             Topic::Operator => self.operator,
@@ -55,27 +55,28 @@
     }
 }
 
-/// What a datagram tells of what runs where.
+/// The load per upstream instance that a datagram announces.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AnnouncedLoads {
-    /// Nothing: it tells only of turns or of the log.
+    /// No loads: the datagram is about pending moves or the log.
     Nothing,
-    /// What its host runs.
+    /// The load caused by the sending host.
     OfHost(Vec<(InstanceKey, Load)>),
-    /// What its host runs in the data centre that it is for.
+    /// The load caused by the sending host in the receiver's data centre.
     OfVisitor(Vec<(InstanceKey, Load)>),
-    /// What runs at the upstreams of its data centre, but for what hosts of the one that it is for run there.
+    /// The load on the upstreams of the sender's data centre, without that caused by hosts of the
+    /// receiver's data centre.
     OfDataCentre(Vec<(InstanceKey, Load)>),
 }
 
-/// What a datagram tells of versions that are tried.
+/// The evidence on versions on trial that a datagram announces.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AnnouncedTrials {
-    /// Nothing.
+    /// No evidence.
     Nothing,
-    /// What its host saw.
+    /// Evidence from the sending host.
     OfHost(Vec<AnnouncedEvidence>),
-    /// What the hosts of its data centre saw.
+    /// Combined evidence from the hosts of the sender's data centre.
     OfDataCentre(Vec<AnnouncedEvidence>),
 }
 
@@ -90,68 +91,69 @@
     }
 }
 
-/// What a host tells the others.
+/// The state that a host announces to its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Its name.
+    /// Name of the sending host.
     pub host: HostId,
-    /// The version of the configuration that it has in force; 0 for none.
+    /// Version of the configuration in force on the sender; 0 for none.
     pub config: u64,
-    /// The latest history of the log that it knows.
+    /// The latest era of the log that the sender knows.
     pub log_era: Era,
     /// The data centres that operators have evacuated.
     pub evacuations: AnnouncedEvacuations,
-    /// The newest order to roll a version out of each service.
+    /// The newest roll-out order of each service.
     pub rollouts: Vec<AnnouncedRollout>,
-    /// What was seen of the versions that are tried.
+    /// Evidence on the versions on trial.
     pub evidence: AnnouncedTrials,
-    /// The log's position up to which it has read the upstreams.
+    /// The log position up to which the sender knows the upstreams.
     pub upstreams: Position,
-    /// Where it serves what others lack.
+    /// Port on which the sender serves configuration and upstream lists to peers.
     pub peer_port: u16,
-    /// Its data centre.
+    /// Data centre of the sender.
     pub data_centre: DataCentre,
-    /// What it reads of the log and is answered: what it tells of that is first-hand and fresh.
+    /// Topics that the sender reads from the log itself and successfully, so that its information on
+    /// them is first-hand and current.
     pub reading: Topics,
-    /// What it tried to read of the log and could not.
+    /// Topics that the sender tried to read from the log and failed to.
     pub unreadable: Topics,
-    /// A hash over the upstreams that it lists.
+    /// Digest of the upstreams that the sender lists.
     pub upstreams_digest: u64,
-    /// The last changes of its upstreams.
+    /// Recent changes to the sender's list of upstreams.
     pub changes: Vec<Change>,
-    /// Whether further changes follow at once in another datagram.
+    /// Whether another datagram with further changes follows immediately.
     pub has_more_changes: bool,
-    /// What runs where.
+    /// Load per upstream instance.
     pub loads: AnnouncedLoads,
-    /// Runs that it has still to move off engines that are leaving.
+    /// Generations that the sender has yet to move off engines that are leaving.
     pub moving: Vec<PendingMoves>,
-    /// Upstreams that it saw leaving.
+    /// Upstreams that the sender observed leaving.
     pub leaving: Vec<InstanceId>,
-    /// Upstreams that it can't connect to now.
+    /// Upstreams that the sender currently can't connect to.
     pub unreachable: Vec<InstanceId>,
-    /// Requests under which upstreams crashed.
+    /// Requests during which upstreams crashed.
     pub suspects: Vec<AnnouncedSuspect>,
-    /// Some other hosts.
+    /// Addresses of some other hosts.
     pub hosts: Vec<SocketAddr>,
-    /// Some hosts of other data centres, for a host that knows few there.
+    /// Some hosts of other data centres, for a receiver that knows few there.
     pub introduced: Vec<(DataCentre, SocketAddr)>,
-    /// Whether it knows few hosts of another data centre, or knows the receiver by its address alone.
+    /// Whether the sender knows few hosts of another data centre, or knows only the receiver's address.
     pub lacks_hosts: bool,
-    /// How many other hosts it knows to be live. One that has just started takes its fleet's size from
-    /// this.
+    /// Number of other hosts that the sender considers live. A host that has just started estimates
+    /// the fleet size from it.
     pub hears: u32,
-    /// How many of them are of its data centre.
+    /// Number of those hosts that are in the sender's data centre.
     pub hears_near: u32,
-    /// The most hosts that it has counted of late, itself included.
+    /// The highest number of hosts that the sender has counted recently, including itself.
     pub counted: u32,
-    /// Whether it is shutting down and counts no more.
+    /// Whether the sender is shutting down and no longer counts as a host.
     pub stopping: bool,
-    /// Whether it asks what runs at the upstreams of the receiver's data centre.
+    /// Whether the sender requests the load on the upstreams of the receiver's data centre.
     pub asks: bool,
 }
 
 impl Datagram {
-    /// Tells only whose it is.
+    /// A datagram that carries only the sender's name and data centre.
     pub fn new(host: HostId, data_centre: DataCentre) -> Self {
         Datagram {
             host,
@@ -184,8 +186,8 @@
         }
     }
 
-    /// The datagram with the last of its changes, and before it others with the rest: dozens of upstreams
-    /// may leave in one moment, and a host that misses one change fetches the whole list.
+    /// Splits the changes over several datagrams; the last one carries everything else. Dozens of
+    /// upstreams may leave at once, and a host that misses one change has to fetch the whole list.
     pub(crate) fn split(mut self) -> Vec<Datagram> {
         let mut parts = Vec::new();
         while self.changes.len() > PART_CHANGES_MAX {
@@ -203,7 +205,7 @@
         parts
     }
 
-    /// Is for hosts that this one has never heard.
+    /// A copy for hosts that have not sent anything yet; it requests the addresses of other hosts.
     pub(crate) fn with_host_request(&self) -> Datagram {
         Datagram {
             lacks_hosts: true,
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Tells of the log alone.
+    /// A copy without loads, evidence and host addresses.
     pub(crate) fn log_only(&self) -> Datagram {
         Datagram {
             evidence: AnnouncedTrials::Nothing,
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Tells of what runs at the upstreams of its data centre.
+    /// A copy with the combined loads and evidence of the sender's data centre.
     pub(crate) fn with_summary(
         &self,
         loads: Vec<(InstanceKey, Load)>,
@@ -235,12 +237,12 @@
         }
     }
 
-    /// Tells of what its host runs in the data centre that it is for.
+    /// A copy with the load that the sender causes in the receiver's data centre.
     pub(crate) fn with_remote_loads(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
         self.loads_only(AnnouncedLoads::OfVisitor(loads))
     }
 
-    /// Asks for what runs at the upstreams of the data centre that it is for.
+    /// A copy that requests the load on the upstreams of the receiver's data centre.
     pub(crate) fn to_load_query(&self) -> Datagram {
         Datagram {
             asks: true,
@@ -248,14 +250,15 @@
         }
     }
 
-    /// The answer to one that asks.
+    /// The answer to a load query.
     pub(crate) fn to_load_answer(&self, loads: Vec<(InstanceKey, Load)>) -> Datagram {
         self.loads_only(AnnouncedLoads::OfDataCentre(loads))
     }
 
-    /// Tells of loads, and of turns, which each datagram tells whole. Lists of upstreams that are leaving or can't be
-    /// connected to grow with the fleet, and are told in rounds. So is how much of the log was read: who hears of news
-    /// without the news would fetch it, over the link between data centres.
+    /// A copy with loads, and with the pending moves, of which every datagram carries the complete list.
+    /// Leaving and unreachable upstreams are left out because these lists grow with the fleet; rounds
+    /// carry them. The log position is left out as well: a host that receives a newer position without
+    /// its changes would fetch them over the link between data centres.
     fn loads_only(&self, loads: AnnouncedLoads) -> Datagram {
         Datagram {
             loads,
@@ -267,12 +270,12 @@
         }
     }
 
-    /// Tells of turns alone.
+    /// A copy with the pending moves, without changes, loads, evidence, hosts and suspects.
     pub(crate) fn moves_only(&self) -> Datagram {
         self.suspects_only(Vec::new())
     }
 
-    /// Tells of these suspects, and of turns.
+    /// A copy with these suspects and the pending moves.
     pub(crate) fn suspects_only(&self, suspects: Vec<AnnouncedSuspect>) -> Datagram {
         Datagram {
             changes: Vec::new(),
@@ -285,34 +288,34 @@
     }
 }
 
-/// Changes of the upstreams on their way over a large fleet.
+/// Upstream changes that are relayed along a tree of hosts in a large fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct AnnouncedChanges {
-    /// The host from which they go over the data centre of the receiver, by the address of its datagrams.
+    /// Gossip address of the root of the relay tree in the receiver's data centre.
     pub(crate) root: SocketAddr,
-    /// How many times more they may be passed on.
+    /// Number of further hops that the changes may be relayed.
     pub(crate) hops_left: u8,
-    /// Who read them.
+    /// The host that read the changes from the log.
     pub(crate) host: HostId,
-    /// The history of the log that it knew.
+    /// The era of the log known to that host.
     pub(crate) log_era: Era,
-    /// The log's position up to which it had read.
+    /// The log position up to which that host had read.
     pub(crate) position: Position,
-    /// A hash over the upstreams that it listed.
+    /// Digest of the upstreams that it listed at that position.
     pub(crate) digest: u64,
-    /// The changes.
+    /// Upstream changes up to `position`.
     pub(crate) changes: Vec<Change>,
-    /// Whether further changes up to that position follow in another datagram.
+    /// Whether another datagram with further changes up to that position follows.
     pub(crate) has_more_changes: bool,
 }
 
 impl AnnouncedChanges {
-    /// As it travels.
+    /// Encodes the changes as a datagram.
     pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_extend(self, vec![CHANGES_FORMAT]).unwrap_or_default()
     }
 
-    /// What a datagram tells; none if it is of another kind.
+    /// Decodes a datagram; `None` if it is of another kind or malformed.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let (&CHANGES_FORMAT, fields) = bytes.split_first()? else {
             return None;
@@ -321,7 +324,8 @@
     }
 }
 
-/// A datagram that is too large loses its oldest changes, then its smallest loads, then suspects.
+/// Encodes a datagram. One that is too large loses its oldest changes, then its smallest loads, then
+/// suspects.
 pub fn encode(mut datagram: Datagram) -> Vec<u8> {
     if let Some(loads) = datagram.loads.entries_mut() {
         loads.sort_by_key(|(_, load)| std::cmp::Reverse(load.tokens));
@@ -334,19 +338,19 @@
     }
 }
 
-/// What a datagram tells.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// [`Error::Datagram`] if it is not a datagram of this release.
+/// [`Error::Datagram`] if `bytes` isn't a datagram in the format of this release.
 pub fn decode(bytes: &[u8]) -> Result<Datagram> {
     let Some((&FORMAT, fields)) = bytes.split_first() else {
-        return Err(Error::Datagram("another format".to_owned()));
+        return Err(Error::Datagram("unknown format".to_owned()));
     };
     postcard::from_bytes(fields).map_err(|error| Error::Datagram(error.to_string()))
 }
 
-/// Leaves something out; false if there is nothing to leave out.
+/// Removes the least important entry or entries; false if none are left.
 fn truncate(datagram: &mut Datagram) -> bool {
     if !datagram.changes.is_empty() {
         datagram.changes.remove(0);
