--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,18 +1,19 @@
-//! Datagrams between hosts: what each runs where, which versions it holds, which upstreams it saw
-//! leaving.
+//! Exchanges state between hosts by datagram: load per upstream, the versions in force, upstreams
+//! observed leaving.
 //!
-//! The hosts of a data centre all tell each other; the interval grows with their number, so that what
-//! a host sends and gets stays bounded. In a small fleet that goes for all hosts. In a large one each host
-//! tells a few of each other data centre in turn what its own one's upstreams run and how many hosts it counts,
-//! and those of a data centre in which it runs something that it does, so that the cost of a host doesn't grow with the fleet, and who hears any of a data centre knows all
-//! of it. A datagram lost is made good by the next one. A host that has just started is told at once
-//! whom it shall hear.
+//! Within a data centre every host sends to every other. The interval grows with the number of hosts,
+//! so that the datagrams sent and received by one host stay bounded. A small fleet is treated like one
+//! data centre. In a large fleet each host sends a summary of its own data centre's load and its host
+//! count to a few hosts of each other data centre in turn, and its own load to hosts of the data
+//! centres in which it causes any. The cost per host thus doesn't grow with the fleet, and a host that
+//! receives from any host of a data centre knows the whole of it. A lost datagram is made up for by the
+//! next one. A host that has just started is sent the addresses of the hosts it should know.
 //!
-//! Calls to the log are priced, so where hosts are many few of them follow it and tell the others
-//! with their datagrams: the upstreams' last changes in full, and the configuration's version, which
-//! the others then fetch. Who reads is decided by each host for itself from whom it hears
-//! ([`crate::gateway::peers::Peers::is_reader`]); two readers for a moment are harmless, and a host that hears of none
-//! reads for itself.
+//! Calls to the log are billed, so in a large fleet only a few hosts read it. They announce recent
+//! upstream changes in full, and the version of the configuration, which the other hosts then fetch.
+//! Each host decides from the datagrams that it receives whether it is a reader
+//! ([`crate::gateway::peers::Peers::is_reader`]). Two readers at the same time are harmless, and a host
+//! that knows of no reader reads the log itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,21 +40,21 @@
 #[cfg(test)]
 pub(crate) use self::remote::REMOTE_INTERVAL;
 
-/// Time between two rounds while hosts are few.
+/// Shortest interval between full rounds, used while there are few hosts.
 const INTERVAL_MIN: Duration = Duration::from_millis(250);
-/// News goes out at once, but not sooner than this after the round before.
+/// Changes are announced immediately, but not sooner than this after the previous round.
 const CHANGE_INTERVAL_MIN: Duration = Duration::from_millis(10);
-/// Added for each host of the data centre: bounds datagrams to 83 a second each way, a few percent of a
-/// tenth of a core.
+/// Share of the interval per host of the data centre. It bounds datagrams to 83 per second in each
+/// direction, which takes a few percent of a tenth of a core.
 const INTERVAL_PER_HOST: Duration = Duration::from_millis(12);
-/// Datagrams are read as they arrive in data centres of up to so many other hosts,
+/// With up to this many other hosts in the data centre, datagrams are read as they arrive.
 const BATCH_HOSTS_MIN: usize = 100;
-/// and gathered for so much longer for each further one,
+/// Added to the delay between reads for each host beyond [`BATCH_HOSTS_MIN`].
 const BATCH_DELAY_PER_HOST: Duration = Duration::from_micros(500);
-/// up to this time, which passes at each of a few hops that a change takes.
+/// Longest delay between reads. A change incurs it at each of the few hops that it takes.
 const BATCH_DELAY_MAX: Duration = Duration::from_millis(100);
 
-/// Sends and receives datagrams for ever.
+/// Sends and receives datagrams; never returns.
 pub async fn run(shared: Shared, socket: UdpSocket) {
     let mut announcements = shared.watch_announcements();
     let mut load_queries = shared.watch_load_queries();
@@ -72,8 +73,8 @@
                         Ok((length, from)) => {
                             handle(&shared, &socket, from, &buffer[..length]).await;
                         }
-                        // A datagram sent to a host that is gone comes back as an error here.
-                        Err(error) => log::debug!("datagram: {error}"),
+                        // An earlier send to a host that is gone is reported as an error here.
+                        Err(error) => log::debug!("receiving a datagram: {error}"),
                     }
                     received = try_receive(&socket, &mut buffer);
                 }
@@ -93,7 +94,7 @@
     }
 }
 
-/// The next datagram, not before `receives_at`.
+/// Receives the next datagram, not before `receives_at`.
 async fn receive_after(
     socket: &UdpSocket,
     receives_at: Instant,
@@ -103,7 +104,7 @@
     socket.recv_from(buffer).await
 }
 
-/// A datagram that has arrived already.
+/// Returns a datagram that has already arrived, if there is one.
 fn try_receive(
     socket: &UdpSocket,
     buffer: &mut [u8],
@@ -114,7 +115,8 @@
     }
 }
 
-/// How long a host of a large data centre lets datagrams gather: each would else wake it, a hundred times a second.
+/// How long a host of a large data centre lets datagrams accumulate before it reads them. Otherwise each
+/// datagram would wake it, about a hundred times a second.
 fn batch_delay(shared: &Shared) -> Duration {
     let now = shared.now();
     let near = shared.peers(|peers| peers.count_near(now));
@@ -124,13 +126,13 @@
         .min(BATCH_DELAY_MAX)
 }
 
-/// When this host sends, and whether it tells everything then.
+/// Schedules rounds and determines which of them are full.
 #[derive(Debug)]
 struct Rounds {
     next: Instant,
     last: Instant,
     last_full: Instant,
-    /// What the host has to tell doesn't wait for its turn.
+    /// Whether there are changes that don't wait for the next full round.
     has_changes: bool,
     remote: RemoteRounds,
 }
@@ -147,17 +149,18 @@
         }
     }
 
-    /// There is news.
+    /// Brings the next round forward because there are changes to announce.
     fn expedite(&mut self) {
         self.has_changes = true;
         self.next = self.next.min(self.last + CHANGE_INTERVAL_MIN);
     }
 
-    /// Whether this round tells everything; a reader's rounds in between tell of the log alone.
+    /// Whether this round announces everything. A reader's rounds in between cover only the log.
     fn is_full(&self, shared: &Shared) -> bool {
         self.has_changes || self.last_full.elapsed() >= full_interval(shared)
     }
 
+    /// Ends a round and schedules the next one.
     fn end(&mut self, shared: &Shared, was_full: bool) {
         let now = Instant::now();
         if was_full {
@@ -174,13 +177,13 @@
     }
 }
 
-/// Between two rounds that tell everything.
+/// Interval between full rounds.
 fn full_interval(shared: &Shared) -> Duration {
     let now = shared.now();
     round_interval(shared.peers(|peers| peers.count_near(now)))
 }
 
-/// Between two rounds to so many hosts of the own data centre.
+/// Interval between full rounds in a data centre with `local_hosts` other hosts.
 pub(crate) fn round_interval(local_hosts: usize) -> Duration {
     INTERVAL_MIN.max(INTERVAL_PER_HOST.saturating_mul(saturating_u32(local_hosts)))
 }
@@ -214,7 +217,7 @@
     send_parts(socket, datagram, &confirmed).await;
 }
 
-/// Sends a datagram, and before it the changes of the upstreams that have no room in it.
+/// Sends a datagram, preceded by others for the upstream changes that don't fit into it.
 async fn send_parts(socket: &UdpSocket, datagram: Datagram, targets: &[SocketAddr]) {
     for part in datagram.split() {
         send(socket, &encode(part), targets).await;
@@ -224,7 +227,7 @@
 async fn send(socket: &UdpSocket, bytes: &[u8], targets: &[SocketAddr]) {
     for target in targets {
         if let Err(error) = socket.send_to(bytes, target).await {
-            log::debug!("datagram to {target}: {error}");
+            log::debug!("sending a datagram to {target}: {error}");
         }
     }
 }
@@ -265,7 +268,7 @@
     datagram
 }
 
-/// A number of hosts as datagrams carry it.
+/// Converts a number of hosts to `u32`; larger numbers become `u32::MAX`.
 fn saturating_u32(hosts: usize) -> u32 {
     u32::try_from(hosts).unwrap_or(u32::MAX)
 }
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -1,4 +1,4 @@
-//! What a host takes from the datagrams of others, and what it answers.
+//! Handles received datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,18 +28,19 @@
 use crate::id::DataCentre;
 use crate::id::HostId;
 
-/// A host whose own reading works gives it this time before it asks a peer for news.
+/// Time that a host which reads the log gives its own read before it fetches from a peer.
 const OWN_READ_GRACE: Duration = Duration::from_millis(300);
-/// Hosts that know nothing yet ask within this time for each other one of their data centre.
+/// Hosts that can't serve yet spread their fetches over this time per other host of the data centre.
 const START_JITTER_PER_HOST: Duration = Duration::from_millis(1);
-/// Hosts that only listen fetch within this time of the first word.
+/// Hosts that don't read the log spread their fetches over at least this time.
 const FETCH_JITTER_MIN: Duration = Duration::from_millis(250);
-/// and in large fleets within so much for each host, as changes then come faster than a host can fetch them one by one,
+/// In large fleets they spread them over this time per host: changes then come faster than a host can
+/// fetch them one by one.
 const FETCH_JITTER_PER_HOST: Duration = Duration::from_micros(750);
-/// up to a part of the bounds on what must be known.
+/// Longest time over which they spread their fetches; a fraction of the bounds on propagation.
 const FETCH_JITTER_MAX: Duration = Duration::from_millis(1_000);
 
-/// Takes one datagram, and answers it if it is to be answered.
+/// Applies one datagram and sends the answer, if there is one.
 pub(super) async fn handle(shared: &Shared, socket: &UdpSocket, from: SocketAddr, bytes: &[u8]) {
     if let Some(announced) = AnnouncedChanges::decode(bytes) {
         apply_relayed(shared, socket, &announced).await;
@@ -48,12 +49,12 @@
     }
 }
 
-/// Takes a datagram; returns the answer to a host that was not known.
+/// Applies a datagram. Returns the answer to a load query, or to a sender that lacks hosts.
 fn apply_datagram(shared: &Shared, from: SocketAddr, bytes: &[u8]) -> Option<Datagram> {
     let datagram = match decode(bytes) {
         Ok(datagram) => datagram,
         Err(error) => {
-            log::debug!("a datagram from {from}: {error}");
+            log::debug!("decoding a datagram from {from}: {error}");
             return None;
         }
     };
@@ -108,7 +109,7 @@
     lacks_hosts.then(|| introduction(shared, now, &data_centre, sender))
 }
 
-/// Takes changes that came over others, and passes on what was new.
+/// Forwards and applies relayed changes, if they are new to this host.
 async fn apply_relayed(shared: &Shared, socket: &UdpSocket, announced: &AnnouncedChanges) {
     let now = shared.now();
     shared.receive_era(announced.log_era, announced.host.as_str());
@@ -129,7 +130,7 @@
     }
 }
 
-/// Takes what `host` of `data_centre` tells of what runs where.
+/// Applies loads announced by `host` of `data_centre`.
 fn apply_loads(
     shared: &Shared,
     now: Time,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Takes what `host` of `data_centre` tells of versions that are tried.
+/// Applies evidence on versions on trial announced by `host` of `data_centre`.
 fn apply_evidence(
     shared: &Shared,
     now: Time,
@@ -173,8 +174,8 @@
     }
 }
 
-/// What a host of `data_centre` that was not known is told at once: who reads the log, some hosts of the
-/// other data centres, and, if it has just started, those of its own.
+/// The answer to a host of `data_centre` that lacks hosts: which topics this host reads, some hosts of the
+/// other data centres and, if the sender has just started, hosts of its own data centre.
 fn introduction(
     shared: &Shared,
     now: Time,
@@ -191,7 +192,7 @@
     datagram
 }
 
-/// How far a host has read the upstreams, and what changed of late.
+/// A peer's log position for the upstreams, and its recent changes.
 #[derive(Clone, Copy)]
 struct AnnouncedPosition<'a> {
     host: &'a HostId,
@@ -201,7 +202,8 @@
     has_more_changes: bool,
 }
 
-/// Takes the changes that a reader tells. True if it must know of more.
+/// Applies the changes announced by a peer. Returns whether changes are still missing that have to be
+/// fetched.
 fn apply_changes(shared: &Shared, now: Time, announced: AnnouncedPosition<'_>) -> bool {
     let own_position = shared.directory(|directory| directory.position());
     if announced.position <= own_position {
@@ -223,9 +225,10 @@
     !same && !announced.has_more_changes
 }
 
-/// Gives the own reading of the log, or the next datagram, a moment before a peer is asked. Hosts that
-/// only listen spread their questions, so that the readers are not asked by all at once; one that
-/// can't serve yet asks at once.
+/// How long to wait for this host's own read of the log, or for the next datagram, before fetching from a
+/// peer. Hosts that don't read the log spread their fetches, so that the readers don't receive all of
+/// them at once. A host that can't serve yet fetches within [`START_JITTER_PER_HOST`] for each
+/// other host of its data centre.
 fn fetch_wait(shared: &Shared) -> Duration {
     if shared.is_reading(Topic::Operator) {
         OWN_READ_GRACE
--- a/src/gateway/gossip/relay.rs
+++ b/src/gateway/gossip/relay.rs
@@ -1,10 +1,11 @@
-//! Spreads changes of the upstreams over a large fleet.
+//! Relays upstream changes along trees of hosts in a large fleet.
 //!
-//! The load that this answers: hundreds of upstreams change in a second and each change concerns a thousand hosts. One
-//! host that told all would send tens of thousands of datagrams a second. So beyond some hundred datagrams a
-//! reader sends to a few, who pass on: in each data centre along a tree over the hosts there, so that nobody
-//! sends to more than a few. Of each other data centre two hosts are told, in turn, as one may be gone. Who
-//! misses something hears of the newer position with its neighbours' next datagrams, and asks them.
+//! When hundreds of upstreams change within a second and each change concerns a thousand hosts, a reader
+//! that sent to all of them would send tens of thousands of datagrams per second. Beyond a few hundred
+//! datagrams it therefore sends to a few hosts, which forward the changes: each data centre has a tree
+//! over its hosts, so that no host sends to more than a few. In each other data centre two hosts, chosen
+//! in turn, are the roots of trees, as one may be gone. A host that misses a change learns of the newer
+//! position from the next datagrams of its neighbours and fetches the changes from them.
 
 use std::time::Duration;
 
@@ -20,28 +21,29 @@
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
 
-/// Datagrams that a reader sends at once.
+/// Most datagrams that a reader sends at once itself; changes that need more are relayed.
 const DIRECT_DATAGRAMS_MAX: usize = 300;
-/// Upstreams that came of which a reader tells along trees
+/// Most new listings that a reader relays within [`LISTINGS_WINDOW`].
 const RELAYED_LISTINGS_MAX: usize = 200;
-/// in this time.
+/// Window over which relayed listings are counted.
 const LISTINGS_WINDOW: Duration = Duration::from_secs(1);
-/// A tree over more hosts than any data centre has is no deeper.
+/// Most hops of a change. A tree of this depth holds more hosts than any data centre has.
 const HOPS_MAX: u8 = 8;
 
-/// What this host has sent along trees.
+/// What this host has sent along relay trees.
 #[derive(Debug, Default)]
 pub(super) struct ChangeRelay {
+    /// The log position up to which changes have been sent.
     sent_position: Position,
-    /// When it began to count what it sent of upstreams that came,
+    /// Start of the current window of [`LISTINGS_WINDOW`].
     window_start: Time,
-    /// and how many that were.
+    /// Number of listings in the current window, including those left out.
     listings: usize,
 }
 
 impl ChangeRelay {
-    /// Keeps what leaves, and of what comes as much as a second has room for. Who hears of a position without the changes
-    /// fetches them, hundreds at once.
+    /// Keeps all departures, and listings up to the limit of the window. A host that receives a position
+    /// without its changes fetches them, hundreds at once.
     fn limit_listings(&mut self, now: Time, changes: &mut Vec<Change>) {
         if now.since(self.window_start) >= LISTINGS_WINDOW {
             self.window_start = now;
@@ -56,7 +58,8 @@
         });
     }
 
-    /// Sends what changed since it last did, if it is more than this host tells all by itself. Whether it was.
+    /// Relays the changes since the previous call if they are too many for direct datagrams. Returns
+    /// whether they were.
     pub(super) async fn send_changes(&mut self, shared: &Shared, socket: &UdpSocket) -> bool {
         if !shared.is_reading(Topic::Upstreams) {
             return false;
@@ -99,13 +102,13 @@
     }
 }
 
-/// Whether changes are too many for one host to tell all others.
+/// Whether there are too many changes for one host to send to all others itself.
 pub(super) fn is_needed(shared: &Shared, changes: &[Change]) -> bool {
     let parts = changes.len().div_ceil(PART_CHANGES_MAX);
     parts * shared.live_hosts() > DIRECT_DATAGRAMS_MAX
 }
 
-/// Sends changes to the hosts behind this one in the tree of its data centre.
+/// Sends changes to the children of this host in the relay tree of its data centre.
 pub(super) async fn forward(
     shared: &Shared,
     now: Time,
--- a/src/gateway/gossip/remote.rs
+++ b/src/gateway/gossip/remote.rs
@@ -1,4 +1,4 @@
-//! What a host of a large fleet tells the other data centres, and asks of them.
+//! Datagrams between the data centres of a large fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,32 +19,34 @@
 use crate::gateway::suspects::AnnouncedSuspect;
 use crate::id::DataCentre;
 
-/// Some hosts of each other data centre are sent to at this interval while hosts are many: bytes between
-/// data centres are priced, and what they tell of is believed for 4 s.
+/// Interval of summaries for other data centres in a large fleet. Traffic between data centres is
+/// billed, and the receivers use a summary for 4 s.
 pub(crate) const REMOTE_INTERVAL: Duration = Duration::from_millis(1_800);
-/// Rounds come a little sooner or later than their interval: what is due in each has this part of it.
+/// Share of the reader interval after which a reader's datagram is due. It is below 1 because rounds
+/// come slightly sooner or later than their interval.
 const DUE_INTERVAL_SHARE: f64 = 0.9;
 
-/// When other data centres were last sent to.
+/// What was last sent to other data centres, and when.
 #[derive(Debug, Default)]
 pub(super) struct RemoteRounds {
-    /// Some hosts of each, what the whole data centre runs.
+    /// When summaries of this data centre were last sent.
     summary_sent_at: Option<Time>,
-    /// All hosts, by a host that reads the upstreams for all.
+    /// When this host, as a reader of the upstreams, last sent to all remote hosts.
     reader_sent_at: Option<Time>,
+    /// Whether there were pending moves in the previous round.
     was_moving: bool,
-    /// The log's position up to which this host had told of upstreams.
+    /// The log position of the upstreams in the previous round.
     announced_upstreams: Position,
-    /// What was last told to other data centres of what this host runs there, and when.
+    /// The load of this host last announced to each other data centre, and when.
     announced_loads: BTreeMap<DataCentre, (Time, Vec<(InstanceKey, Load)>)>,
-    /// Up to when it had told of requests under which it saw upstreams crash.
+    /// Crashes observed by this host up to this time have been announced.
     suspects_sent_at: Time,
-    /// What it had told of roll-outs.
+    /// Number of local roll-out changes in the previous round.
     announced_rollouts: u64,
 }
 
 impl RemoteRounds {
-    /// Whether the time has come to tell of the data centre.
+    /// Whether a summary of the data centre is due; if so, records it as sent.
     fn is_summary_due(&mut self, now: Time) -> bool {
         let is_due = self
             .summary_sent_at
@@ -55,19 +57,19 @@
         is_due
     }
 
-    /// Whether there is something to tell of turns, be it that nothing is left to move.
+    /// Whether there are pending moves to announce, or that none are left.
     fn has_moves(&mut self, is_moving: bool) -> bool {
         std::mem::replace(&mut self.was_moving, is_moving) || is_moving
     }
 
-    /// Whether this host learnt something of roll-outs since the round before that no other host has told.
+    /// Whether this host learnt of roll-out changes since the previous round other than from peers.
     fn has_rollout_changes(&mut self, shared: &Shared) -> bool {
         let changes = shared.directory(|directory| directory.rollouts().local_changes());
         std::mem::replace(&mut self.announced_rollouts, changes) != changes
     }
 
-    /// What is to be told to other data centres of what this host runs there: what changed, what was told a while
-    /// ago, and once that nothing is left.
+    /// The loads of this host to announce to other data centres: those that changed, those last announced
+    /// an interval ago, and, once, empty ones.
     fn due_loads(
         &mut self,
         shared: &Shared,
@@ -93,14 +95,13 @@
         due
     }
 
-    /// What this host has seen since the round before of requests under which upstreams crash.
+    /// Crashes that this host has observed since the previous round.
     fn new_suspects(&mut self, shared: &Shared, now: Time) -> Vec<AnnouncedSuspect> {
         let since = std::mem::replace(&mut self.suspects_sent_at, now);
         shared.suspects(|suspects| suspects.observed_since(now, since))
     }
 
-    /// Whether this host reads the upstreams for all, and the others must hear that it does, or what has
-    /// changed.
+    /// Whether this host is a reader of the upstreams and has to announce that, or changes, to remote hosts.
     fn is_reader_due(&mut self, shared: &Shared, now: Time, datagram: &Datagram) -> bool {
         let upstreams = datagram.upstreams;
         let is_later = std::mem::replace(&mut self.announced_upstreams, upstreams) != upstreams;
@@ -118,7 +119,7 @@
     }
 }
 
-/// Tells the other data centres of a large fleet what is due.
+/// Sends what is due to the other data centres of a large fleet.
 pub(super) async fn send_due(
     shared: &Shared,
     socket: &UdpSocket,
@@ -130,8 +131,8 @@
         let targets = shared.peers(|peers| peers.all_outside());
         send(socket, &encode(datagram.moves_only()), &targets).await;
     }
-    // A repeat may go to any host next, and what a host tells its own data centre first is heard in
-    // others 1.8 s later.
+    // The client may repeat the request at any host, and hosts of other data centres would otherwise
+    // learn of the crash from the summaries, 1.8 s later.
     let suspects = rounds.new_suspects(shared, now);
     if !suspects.is_empty() {
         let targets = shared.peers(|peers| peers.all_outside());
@@ -160,7 +161,7 @@
     }
 }
 
-/// Asks other data centres whose words are old what runs at their upstreams.
+/// Requests the load from other data centres whose reports are out of date.
 pub(super) async fn query_loads(shared: &Shared, socket: &UdpSocket) {
     let now = shared.now();
     let data_centres = shared.data_centres_to_query(now);
