--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -1,9 +1,9 @@
-//! How a host that starts learns what is in force.
+//! Fetches the initial state of a host that starts.
 //!
-//! The load that this answers: after a loss of power hundreds of hosts start within half a second, and
-//! requests arrive before they know anything. Who names seeds asks them, so that not all read the
-//! whole log; but where no seed can be connected to, waiting for them keeps the host from serving,
-//! and it reads the log at once.
+//! After a power loss, hundreds of hosts start within half a second, and requests arrive before they have
+//! any state. A host with configured seeds queries them, so that not every host reads the whole log. If
+//! no seed accepts a connection, waiting for them would only delay serving, and the host reads the log
+//! immediately.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,37 +21,36 @@
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
 
-/// Between two rounds of asking seeds.
+/// Interval between rounds of seed queries.
 const SEED_INTERVAL: Duration = Duration::from_millis(300);
-/// Before the first such round: seeds that start at the same time have read the log by then.
+/// Delay before the first round: seeds that start at the same time have read the log by then.
 const SEED_DELAY: Duration = Duration::from_millis(100);
-/// Seeds are asked within this time for each host that is told of.
+/// Seed queries are spread over this time per host of the estimated fleet.
 const SEED_JITTER_PER_HOST: Duration = Duration::from_millis(1);
-/// Between two tries to connect to seeds.
+/// Delay before each attempt to connect to the seeds.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(40);
-/// Tries after which seeds that can't be connected to count as away: those that start with this host
-/// listen by then.
+/// Attempts before seeds count as unreachable: those that start together with this host are listening
+/// by then.
 const CONNECT_ATTEMPTS: u32 = 2;
-/// A seed that answers the connection is there within this time: a few round trips of the farthest
-/// data centre.
+/// Timeout of an attempt: a few round trips to the farthest data centre.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// A request that comes while the host knows nothing yet waits for so long at most: a start takes a
-/// tenth of that where the log answers.
+/// Longest wait of a request for a host that isn't initialized; a start takes a tenth of that if the log
+/// answers.
 const START_WAIT_MAX: Duration = Duration::from_millis(400);
-/// and for no more than this part of the time that its caller gives it.
+/// Largest share of the client's timeout that a request waits.
 const START_WAIT_SHARE: f64 = 0.25;
 
-/// How often a request that waits looks whether the host knows what changed while it was suspended.
+/// Interval at which a waiting request checks whether the host has caught up after a suspension.
 const RESUME_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether seeds can be connected to.
+/// Whether this host can connect to its seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SeedState {
-    /// Not tried yet.
+    /// No attempt has finished yet.
     Unknown,
-    /// At least one can.
+    /// At least one seed accepted a connection.
     Reachable,
-    /// None can, or none is named.
+    /// No seed accepted a connection, or none is configured.
     Unreachable,
 }
 
@@ -65,12 +64,12 @@
     }
 }
 
-/// Asks seeds until the host can serve.
+/// Queries the seeds until the host can serve.
 pub(crate) async fn query_seeds(shared: Shared) {
     let own = shared.settings().peer_address;
     let mut seeds = shared.settings().seeds.clone();
     seeds.retain(|seed| *seed != own);
-    // Hosts that start together don't all ask the same one first.
+    // So that hosts that start together don't all query the same seed first.
     seeds.shuffle(&mut rand::rng());
     let query_from = Instant::now() + SEED_DELAY;
     let state = probe_seeds(&seeds).await;
@@ -82,7 +81,7 @@
         .write();
     tokio::time::sleep_until(query_from).await;
     while !shared.is_ready() {
-        // The more hosts there are, the later each asks, and those that others have told by then don't.
+        // The delay grows with the fleet; hosts that have been informed by others by then send no query.
         let jitter = SEED_JITTER_PER_HOST * shared.fleet_size_estimate();
         tokio::time::sleep(jitter.mul_f64(rand::random())).await;
         if !shared.is_reading(Topic::Operator) && !has_live_holders(&shared) {
@@ -92,7 +91,7 @@
     }
 }
 
-/// Whether hosts are heard that know all that a host needs.
+/// Whether live peers hold the state of all topics that a host needs.
 fn has_live_holders(shared: &Shared) -> bool {
     let now = shared.now();
     let topics = [Topic::Operator, Topic::Upstreams];
@@ -118,7 +117,7 @@
     )
 }
 
-/// Asks one seed after another until the host can serve.
+/// Queries one seed after another until the host can serve.
 async fn query_each(shared: &Shared, seeds: &[SocketAddr]) {
     for seed in seeds {
         if shared.is_ready() {
@@ -130,15 +129,15 @@
     }
 }
 
-/// Asks a seed for what is in force. A seed that serves its configuration to others tells of the upstreams
-/// all the same.
+/// Fetches the configuration and the upstreams from a seed. The upstreams are fetched even if the
+/// configuration can't be, as a seed that is busy serving its configuration still serves the upstreams.
 async fn query_seed(shared: &Shared, seed: SocketAddr) -> Result<()> {
     let configuration = fetch_configuration(shared, seed).await;
     peerfetch::fetch_from_seed(shared, seed).await?;
     configuration
 }
 
-/// Nothing is done while the configuration is being fetched from another host.
+/// Fetches the configuration from a seed, unless a fetch from another host is in progress.
 async fn fetch_configuration(shared: &Shared, seed: SocketAddr) -> Result<()> {
     if !shared.peers(|peers| peers.begin_fetch(Fetch::Configuration)) {
         return Ok(());
@@ -148,25 +147,25 @@
     fetched
 }
 
-/// Keeps a request of a caller who gives it `timeout` while the host has just started and knows
-/// nothing yet.
+/// Delays a request with the client timeout `timeout` while the host has just started and isn't
+/// initialized.
 pub(crate) async fn wait_until_initialized(shared: &Shared, timeout: Duration) {
     if shared.is_initialized() {
         return;
     }
     let age = Duration::from_micros(shared.now().as_us());
     let until = Instant::now() + wait_limit(age, timeout);
-    let mut news = shared.watch_announcements();
+    let mut announcements = shared.watch_announcements();
     while !shared.is_initialized() && Instant::now() < until {
         tokio::select! {
-            _ = news.changed() => {}
+            _ = announcements.changed() => {}
             () = tokio::time::sleep_until(until) => {}
         }
     }
 }
 
-/// Keeps a request of a caller who gives it `timeout` while the host has just woken from a suspension. Whether it
-/// knows by then what changed meanwhile.
+/// Delays a request with the client timeout `timeout` while the host is catching up after a suspension.
+/// Returns whether it has caught up.
 pub(crate) async fn wait_until_resumed(shared: &Shared, timeout: Duration) -> bool {
     let until = Instant::now() + wait_limit(Duration::ZERO, timeout);
     while shared.is_resuming() && Instant::now() < until {
@@ -175,7 +174,7 @@
     !shared.is_resuming()
 }
 
-/// How long a request waits at a host of this age.
+/// Longest wait of a request at a host that started `age` ago.
 fn wait_limit(age: Duration, timeout: Duration) -> Duration {
     let left = START_WAIT_MAX.saturating_sub(age);
     if timeout > START_WAIT_MAX.mul_f64(1.0 / START_WAIT_SHARE) {
--- a/src/gateway/joining/tests.rs
+++ b/src/gateway/joining/tests.rs
@@ -7,14 +7,14 @@
 use super::probe_seeds;
 use super::wait_limit;
 
-/// An address at which nobody listens.
+/// An address that refuses connections.
 fn closed_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
 #[actix_rt::test]
-async fn seeds_that_nobody_can_connect_to_are_away() {
+async fn seeds_that_refuse_connections_are_unreachable() {
     assert_eq!(
         probe_seeds(&[closed_address()]).await,
         SeedState::Unreachable
@@ -23,7 +23,7 @@
 }
 
 #[actix_rt::test]
-async fn one_seed_that_listens_is_enough() {
+async fn one_listening_seed_is_enough() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let seeds = [closed_address(), listener.local_addr().unwrap()];
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_request_waits_at_a_young_host_only_and_for_a_part_of_its_time() {
+fn a_request_waits_only_at_a_starting_host_and_for_a_share_of_its_timeout() {
     let day = Duration::from_secs(86_400);
     assert_eq!(wait_limit(Duration::ZERO, day), START_WAIT_MAX);
     assert_eq!(wait_limit(START_WAIT_MAX, day), Duration::ZERO);
