--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one upstream and says what came of it, up to the head of the answer.
+//! Sends a request to one upstream and reads its response.
 
 use std::time::Duration;
 
@@ -16,27 +16,28 @@
 use crate::gateway::serve::Admitted;
 use crate::gateway::shared::Shared;
 
-/// Time left is passed on in whole milliseconds; a request with less than one is not sent.
+/// The remaining time is passed on in whole milliseconds; a request with less than one is not sent.
 const TIME_LEFT_MIN: Duration = Duration::from_millis(1);
 
-/// The status by which another instance than the expected one answers (RFC 9110, section 15.5.20).
+/// Status 421 Misdirected Request (RFC 9110, section 15.5.20): the instance at the address isn't the
+/// expected one.
 const MISDIRECTED_REQUEST: u16 = 421;
 
-/// An answer that has begun.
+/// A response whose head has been received.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
-    /// Where the body comes from; closes with it.
+    /// The connection that the body is read from; dropping it closes the connection.
     pub(crate) connection: Connection,
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
 }
 
-/// Why no answer to the request began.
+/// Why no response to a request was received.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun(String),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
 }
 
@@ -44,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Why no answer to it began.
+/// [`SendError`] if no response head was received.
 pub(crate) async fn send(
     shared: &Shared,
     admitted: &Admitted,
@@ -52,7 +53,7 @@
     headers: &AttemptHeaders<'_>,
 ) -> Result<OpenResponse, SendError> {
     shared.check_suspension();
-    // A run that was stopped to be moved goes on all the same, or it is lost.
+    // A generation that was stopped in order to be moved is continued regardless; it would be lost otherwise.
     if headers.continue_from.is_none() && shared.is_resuming() {
         let reason = "the host was suspended before it was sent".to_owned();
         return Err(SendError::NotRun(reason));
@@ -89,18 +90,18 @@
     })
 }
 
-/// What an answer that was read whole says.
+/// The outcome of reading a complete response.
 #[derive(Debug)]
 pub(crate) enum ReadOutcome {
-    /// It is the upstream's own answer.
+    /// The upstream ran the request and responded.
     Answered(WholeAnswer),
     /// The request certainly did not run.
     NotRun(String),
-    /// The answer broke off; the request may have run.
+    /// The response ended early; the request may have run.
     Truncated(String),
 }
 
-/// Reads the rest of an answer from `upstream`.
+/// Reads the body of a response from `upstream`.
 pub(crate) async fn read_response(
     shared: &Shared,
     admitted: &Admitted,
@@ -122,14 +123,14 @@
     ReadOutcome::Answered(WholeAnswer { head, body })
 }
 
-/// Upstreams echo the request's id; an answer with another one belongs to another request.
+/// Whether a response belongs to this request. Upstreams echo the request's id.
 fn is_response_to(shared: &Shared, admitted: &Admitted, headers: &HeaderMap) -> bool {
     let echoed = headers.get(&shared.protocol().headers().request_id);
     echoed.is_none_or(|echoed| echoed.as_bytes() == admitted.id.as_bytes())
 }
 
-/// Why an answer says that the request did not run, if it does. Another instance at the address
-/// shows that the expected one is gone.
+/// The reason why the request did not run, if the response says that it didn't. A response from another
+/// instance at the address shows that the expected one is gone, and is recorded as such.
 fn not_run_reason(shared: &Shared, upstream: &Upstream, head: &Parts) -> Option<String> {
     let names = shared.protocol().headers();
     let status = head.status.as_u16();
