--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -34,8 +34,8 @@
 mod calls;
 
 pub(crate) use self::calls::append;
-pub(crate) use self::calls::append_only_at;
-pub(crate) use self::calls::newest;
+pub(crate) use self::calls::append_if_end;
+pub(crate) use self::calls::read_newest;
 
 /// A call that doesn't wait, of a host that knows nothing yet: many start together.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -69,11 +69,11 @@
 
 /// Why a topic must be read anew or later.
 #[derive(Debug)]
-pub(crate) enum Interrupted {
+pub(crate) enum ReadError {
     /// Records that were not read are gone, or positions before are void.
     Truncated,
     /// Another host reads again what this one can't.
-    ReturnedElsewhere,
+    ReachableElsewhere,
     /// The host was suspended while a call was under way: the answer is of before.
     Suspended,
     /// The log can't be read.
@@ -81,11 +81,11 @@
 }
 
 /// What a step of following comes to.
-pub(crate) type Step<T> = std::result::Result<T, Interrupted>;
+pub(crate) type Step<T> = std::result::Result<T, ReadError>;
 
-impl From<Error> for Interrupted {
+impl From<Error> for ReadError {
     fn from(error: Error) -> Self {
-        Interrupted::Unavailable(error.to_string())
+        ReadError::Unavailable(error.to_string())
     }
 }
 
@@ -109,18 +109,18 @@
         let mut wakes = shared.watch_wakeups();
         let step = tokio::select! {
             step = follower.advance() => step,
-            () = return_elsewhere(&shared, topic) => Err(Interrupted::ReturnedElsewhere),
-            () = later_era(&shared, next) => Err(Interrupted::Truncated),
-            _ = wakes.changed() => Err(Interrupted::Suspended),
+            () = return_elsewhere(&shared, topic) => Err(ReadError::ReachableElsewhere),
+            () = later_era(&shared, next) => Err(ReadError::Truncated),
+            _ = wakes.changed() => Err(ReadError::Suspended),
         };
         match step {
             Ok(()) => {
                 backoff = new_backoff();
                 tokio::time::sleep(BATCH_PAUSE).await;
             }
-            Err(Interrupted::Truncated) => follower.next = None,
-            Err(Interrupted::ReturnedElsewhere | Interrupted::Suspended) => {}
-            Err(Interrupted::Unavailable(reason)) => {
+            Err(ReadError::Truncated) => follower.next = None,
+            Err(ReadError::ReachableElsewhere | ReadError::Suspended) => {}
+            Err(ReadError::Unavailable(reason)) => {
                 shared.record_log_failure(topic, began.elapsed(), &reason);
                 let pause = backoff.next().unwrap_or(BACKOFF_MAX);
                 follower.wait_for_return(pause).await;
@@ -264,7 +264,8 @@
     async fn read_newest(&mut self) -> Step<()> {
         let timeout = self.newest_timeout();
         let began = Instant::now();
-        let (records, end) = newest(&self.shared, &mut self.client, self.topic, timeout).await?;
+        let (records, end) =
+            read_newest(&self.shared, &mut self.client, self.topic, timeout).await?;
         if self.topic == Topic::Operator {
             self.shared.replace_evacuations(&records, end);
             self.shared
@@ -299,17 +300,17 @@
         let (answer, begun_after) = self.call(&call, timeout).await?;
         self.shared.check_suspension();
         if wakes.has_changed().unwrap_or(false) {
-            return Err(Interrupted::Suspended);
+            return Err(ReadError::Suspended);
         }
         let era = era_of(&self.shared, &answer.headers)?;
         if era != next.era {
             // The same offset names another record, or none.
-            return Err(Interrupted::Truncated);
+            return Err(ReadError::Truncated);
         }
         match answer.status {
             200 => {}
-            410 => return Err(Interrupted::Truncated),
-            status => return Err(Interrupted::Unavailable(format!("status {status}"))),
+            410 => return Err(ReadError::Truncated),
+            status => return Err(ReadError::Unavailable(format!("status {status}"))),
         }
         let protocol = self.shared.protocol();
         let batch = protocol.decode_read(next.offset, &answer.body)?;
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 
 use super::CALL_TIMEOUT;
-use super::Interrupted;
+use super::ReadError;
 use super::Step;
 use crate::error::Error;
 use crate::error::Result;
@@ -23,13 +23,13 @@
 /// The history of the log that an answer is of.
 pub(super) fn era_of(shared: &Shared, headers: &HeaderMap) -> Step<Era> {
     shared.check_answer_era(headers).map_err(|StaleAnswer| {
-        Interrupted::Unavailable("an answer from before the log's return".to_owned())
+        ReadError::Unavailable("an answer from before the log's return".to_owned())
     })
 }
 
 /// The newest record of each key of a topic, and the position to read from next. All pages are of one
 /// history of the log.
-pub(crate) async fn newest(
+pub(crate) async fn read_newest(
     shared: &Shared,
     client: &mut OwnClient,
     topic: Topic,
@@ -43,15 +43,12 @@
         let answer = client.call_whole(&call, timeout).await?;
         let era = era_of(shared, &answer.headers)?;
         if answer.status != 200 {
-            return Err(Interrupted::Unavailable(format!(
-                "status {}",
-                answer.status
-            )));
+            return Err(ReadError::Unavailable(format!("status {}", answer.status)));
         }
         let page = shared.protocol().decode_newest(&answer.body)?;
         let from = *end.get_or_insert(Position::new(era, page.end));
         if from.era != era {
-            return Err(Interrupted::Truncated);
+            return Err(ReadError::Truncated);
         }
         // A page that ends where the one before did would be asked for again and again.
         let last = page.records.last().map(|record| &record.key);
@@ -87,7 +84,7 @@
 /// # Errors
 ///
 /// [`Error::Remote`] if the log doesn't answer, or refuses it.
-pub(crate) async fn append_only_at(
+pub(crate) async fn append_if_end(
     shared: &Shared,
     client: &mut OwnClient,
     topic: Topic,
--- a/src/gateway/hostlisting.rs
+++ b/src/gateway/hostlisting.rs
@@ -6,7 +6,7 @@
 
 use crate::gateway::follow::CALL_TIMEOUT;
 use crate::gateway::follow::append;
-use crate::gateway::follow::newest;
+use crate::gateway::follow::read_newest;
 use crate::gateway::ownclient::OwnClient;
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Topic;
@@ -59,7 +59,7 @@
 }
 
 async fn learn_hosts(shared: &Shared, client: &mut OwnClient) {
-    match newest(shared, client, Topic::Hosts, CALL_TIMEOUT).await {
+    match read_newest(shared, client, Topic::Hosts, CALL_TIMEOUT).await {
         Ok((records, _)) => {
             let listed = records.iter().filter(|record| record.value.is_some());
             let addresses = listed.filter_map(|record| record.key.parse().ok());
--- a/src/gateway/reading.rs
+++ b/src/gateway/logreads.rs
@@ -31,18 +31,18 @@
 
 /// For whom a host reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Audience {
+pub(crate) enum ReadScope {
     /// Each host reads for itself.
-    Itself,
+    Host,
     /// A few hosts read for all.
-    Others,
+    Fleet,
 }
 
 /// How long a read waits at the log for news, if a host may be stale for `staleness_max`.
-pub(crate) fn wait_for_news(staleness_max: Duration, audience: Audience) -> Duration {
+pub(crate) fn poll_wait(staleness_max: Duration, audience: ReadScope) -> Duration {
     staleness_max.mul_f64(match audience {
-        Audience::Itself => WAIT_PART_ALONE,
-        Audience::Others => WAIT_PART_FOR_OTHERS,
+        ReadScope::Host => WAIT_PART_ALONE,
+        ReadScope::Fleet => WAIT_PART_FOR_OTHERS,
     })
 }
 
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy)]
 struct TopicReading {
     answered_at: Option<Time>,
-    lost_at: Option<Time>,
+    unreachable_since: Option<Time>,
     /// The latest that an answer came after its wait, of late.
     delay_max: Duration,
     /// Reads in a row that came to nothing.
@@ -62,7 +62,7 @@
     fn default() -> Self {
         TopicReading {
             answered_at: None,
-            lost_at: Some(Time::ZERO),
+            unreachable_since: Some(Time::ZERO),
             delay_max: Duration::ZERO,
             failures: 0,
         }
@@ -81,18 +81,18 @@
 
 /// The reading of all topics.
 #[derive(Debug, Default)]
-pub(crate) struct ReadingBoard {
+pub(crate) struct LogReads {
     topics: BTreeMap<Topic, TopicReading>,
 }
 
-impl ReadingBoard {
+impl LogReads {
     fn topic(&self, topic: Topic) -> TopicReading {
         self.topics.get(&topic).copied().unwrap_or_default()
     }
 
     /// The log answered a read of a topic, `delay` after the wait that was asked for. Tells for how
     /// long it had not answered, if the topic was lost.
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &mut self,
         now: Time,
         topic: Topic,
@@ -102,37 +102,40 @@
         reading.answered_at = Some(now);
         reading.failures = 0;
         reading.delay_max = reading.delay_max.mul_f64(DELAY_DECAY).max(delay);
-        reading.lost_at.take().map(|lost_at| now.since(lost_at))
+        reading
+            .unreachable_since
+            .take()
+            .map(|unreachable_since| now.since(unreachable_since))
     }
 
     /// More of an answer to a read of a topic has arrived.
-    pub(crate) fn progressed(&mut self, now: Time, topic: Topic) {
+    pub(crate) fn record_progress(&mut self, now: Time, topic: Topic) {
         if let Some(reading) = self.topics.get_mut(&topic)
-            && reading.lost_at.is_none()
+            && reading.unreachable_since.is_none()
         {
             reading.answered_at = Some(now);
         }
     }
 
     /// A read of a topic came to nothing. True if the topic could be read before.
-    pub(crate) fn failed(&mut self, now: Time, topic: Topic) -> bool {
+    pub(crate) fn record_failure(&mut self, now: Time, topic: Topic) -> bool {
         let reading = self.topics.entry(topic).or_default();
-        let is_news = reading.lost_at.is_none();
-        reading.lost_at.get_or_insert(now);
+        let is_news = reading.unreachable_since.is_none();
+        reading.unreachable_since.get_or_insert(now);
         reading.failures += 1;
         is_news
     }
 
     /// Nothing that was read counts any more, as after the host was suspended.
-    pub(crate) fn all_lost(&mut self, now: Time) {
+    pub(crate) fn mark_all_unreachable(&mut self, now: Time) {
         for reading in self.topics.values_mut() {
-            reading.lost_at.get_or_insert(now);
+            reading.unreachable_since.get_or_insert(now);
         }
     }
 
     /// Whether the last read of a topic came to nothing, or none was answered yet.
-    pub(crate) fn is_lost(&self, topic: Topic) -> bool {
-        self.topic(topic).lost_at.is_some()
+    pub(crate) fn is_unreachable(&self, topic: Topic) -> bool {
+        self.topic(topic).unreachable_since.is_some()
     }
 
     /// How long after its wait an answer may come.
@@ -147,7 +150,7 @@
         let is_fresh = reading
             .answered_at
             .is_some_and(|answered_at| now.since(answered_at) <= lasts);
-        is_fresh && reading.lost_at.is_none()
+        is_fresh && reading.unreachable_since.is_none()
     }
 
     /// Time since the log last answered a read of a topic; none if it never did.
--- a/src/gateway/reading/tests.rs
+++ b/src/gateway/logreads/tests.rs
@@ -2,18 +2,18 @@
 
 use super::ANSWER_SLACK_MAX;
 use super::ANSWER_SLACK_MIN;
-use super::Audience;
-use super::ReadingBoard;
-use super::wait_for_news;
+use super::LogReads;
+use super::ReadScope;
+use super::poll_wait;
 use crate::clock::Time;
 use crate::gateway::protocol::Topic;
 
 const SOON: Duration = Duration::from_millis(4);
 const WAIT: Duration = Duration::from_millis(500);
 
-fn answered_at(ms: u64) -> ReadingBoard {
-    let mut board = ReadingBoard::default();
-    board.answered(Time::from_ms(ms), Topic::Upstreams, SOON);
+fn answered_at(ms: u64) -> LogReads {
+    let mut board = LogReads::default();
+    board.record_answer(Time::from_ms(ms), Topic::Upstreams, SOON);
     board
 }
 
@@ -22,8 +22,8 @@
     let bound = Duration::from_secs(2);
     let connecting = Duration::from_millis(400);
 
-    let alone = wait_for_news(bound, Audience::Itself) + ANSWER_SLACK_MIN + connecting;
-    let for_others = wait_for_news(bound, Audience::Others) + ANSWER_SLACK_MIN;
+    let alone = poll_wait(bound, ReadScope::Host) + ANSWER_SLACK_MIN + connecting;
+    let for_others = poll_wait(bound, ReadScope::Fleet) + ANSWER_SLACK_MIN;
 
     assert!(alone <= bound, "{alone:?}");
     assert!(for_others <= bound / 2, "{for_others:?}");
@@ -32,23 +32,23 @@
 #[test]
 fn each_topic_is_lost_and_found_by_itself() {
     let mut board = answered_at(1_000);
-    board.answered(Time::from_ms(1_000), Topic::Operator, SOON);
+    board.record_answer(Time::from_ms(1_000), Topic::Operator, SOON);
 
-    let is_news = board.failed(Time::from_ms(2_000), Topic::Upstreams);
-    let again = board.failed(Time::from_ms(2_500), Topic::Upstreams);
+    let is_news = board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
+    let again = board.record_failure(Time::from_ms(2_500), Topic::Upstreams);
 
     assert!(is_news && !again);
-    assert!(board.is_lost(Topic::Upstreams));
-    assert!(!board.is_lost(Topic::Operator));
-    let away = board.answered(Time::from_ms(3_000), Topic::Upstreams, SOON);
+    assert!(board.is_unreachable(Topic::Upstreams));
+    assert!(!board.is_unreachable(Topic::Operator));
+    let away = board.record_answer(Time::from_ms(3_000), Topic::Upstreams, SOON);
     assert_eq!(away, Some(Duration::from_secs(1)));
 }
 
 #[test]
 fn a_topic_that_was_never_read_is_lost() {
-    let board = ReadingBoard::default();
+    let board = LogReads::default();
 
-    assert!(board.is_lost(Topic::Operator));
+    assert!(board.is_unreachable(Topic::Operator));
     assert!(!board.is_answered(Time::ZERO, Topic::Operator, WAIT));
     assert_eq!(board.age(Time::ZERO, Topic::Operator), None);
 }
@@ -65,7 +65,7 @@
 fn a_lost_topic_is_not_trusted_at_once() {
     let mut board = answered_at(1_000);
 
-    board.failed(Time::from_ms(1_100), Topic::Upstreams);
+    board.record_failure(Time::from_ms(1_100), Topic::Upstreams);
 
     assert!(!board.is_answered(Time::from_ms(1_100), Topic::Upstreams, WAIT));
 }
@@ -76,16 +76,16 @@
     let mut board = answered_at(1_000);
     let at_first = board.answer_slack(Topic::Upstreams);
 
-    board.failed(Time::from_ms(2_000), Topic::Upstreams);
+    board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
     let after_a_loss = board.answer_slack(Topic::Upstreams);
-    board.answered(
+    board.record_answer(
         Time::from_ms(3_000),
         Topic::Upstreams,
         Duration::from_millis(300),
     );
     let while_slow = board.answer_slack(Topic::Upstreams);
     for _ in 0..20 {
-        board.answered(Time::from_ms(4_000), Topic::Upstreams, SOON);
+        board.record_answer(Time::from_ms(4_000), Topic::Upstreams, SOON);
     }
 
     assert_eq!(at_first, ANSWER_SLACK_MIN);
@@ -99,7 +99,7 @@
     let mut board = answered_at(1_000);
 
     for _ in 0..9 {
-        board.failed(Time::from_ms(2_000), Topic::Upstreams);
+        board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
     }
 
     assert_eq!(board.answer_slack(Topic::Upstreams), ANSWER_SLACK_MAX);
--- a/src/gateway/position.rs
+++ b/src/gateway/position.rs
@@ -38,7 +38,7 @@
 
 /// What an answer of the log tells of its era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ToldEra {
+pub enum StatedEra {
     /// Nothing: the era is the one that is known.
     Nothing,
     /// This one.
@@ -47,16 +47,16 @@
     Unreadable,
 }
 
-impl ToldEra {
+impl StatedEra {
     /// The era that the header `name` tells.
-    pub fn of(headers: &HeaderMap, name: &HeaderName) -> Self {
+    pub fn from_headers(headers: &HeaderMap, name: &HeaderName) -> Self {
         let Some(value) = headers.get(name) else {
-            return ToldEra::Nothing;
+            return StatedEra::Nothing;
         };
         let number = value.to_str().ok().and_then(|text| text.parse().ok());
         match number {
-            Some(number) if number > 0 => ToldEra::Era(Era(number)),
-            Some(_) | None => ToldEra::Unreadable,
+            Some(number) if number > 0 => StatedEra::Era(Era(number)),
+            Some(_) | None => StatedEra::Unreadable,
         }
     }
 }
--- a/src/gateway/position/tests.rs
+++ b/src/gateway/position/tests.rs
@@ -4,14 +4,14 @@
 
 use super::Era;
 use super::Position;
-use super::ToldEra;
+use super::StatedEra;
 
 const NAME: HeaderName = HeaderName::from_static("log-era");
 
-fn told(value: &'static str) -> ToldEra {
+fn told(value: &'static str) -> StatedEra {
     let mut headers = HeaderMap::new();
     headers.insert(NAME, HeaderValue::from_static(value));
-    ToldEra::of(&headers, &NAME)
+    StatedEra::from_headers(&headers, &NAME)
 }
 
 #[test]
@@ -27,9 +27,12 @@
 
 #[test]
 fn an_era_is_a_number_above_zero() {
-    assert_eq!(told("7"), ToldEra::Era(Era::new(7)));
-    assert_eq!(ToldEra::of(&HeaderMap::new(), &NAME), ToldEra::Nothing);
+    assert_eq!(told("7"), StatedEra::Era(Era::new(7)));
+    assert_eq!(
+        StatedEra::from_headers(&HeaderMap::new(), &NAME),
+        StatedEra::Nothing
+    );
     for wrong in ["", "0", "-1", "1.5", "seven", "99999999999999999999"] {
-        assert_eq!(told(wrong), ToldEra::Unreadable, "{wrong}");
+        assert_eq!(told(wrong), StatedEra::Unreadable, "{wrong}");
     }
 }
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -14,9 +14,9 @@
 
 use crate::event::EventCode;
 use crate::gateway::follow::CALL_TIMEOUT;
-use crate::gateway::follow::Interrupted;
-use crate::gateway::follow::append_only_at;
-use crate::gateway::follow::newest;
+use crate::gateway::follow::ReadError;
+use crate::gateway::follow::append_if_end;
+use crate::gateway::follow::read_newest;
 use crate::gateway::ownclient::OwnClient;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::RolloutState;
@@ -83,7 +83,7 @@
 
 impl StatusReporter {
     /// Takes the step that is due, once the hosts before this one have had time to take it.
-    async fn take_due_step(&mut self, rollout: &OpenRollout) -> Result<(), Interrupted> {
+    async fn take_due_step(&mut self, rollout: &OpenRollout) -> Result<(), ReadError> {
         let step = match &rollout.due {
             _ if !self.reported.contains_key(&rollout.ordered_at) => Step::Begin,
             DueStep::Nothing => return Ok(()),
@@ -120,10 +120,10 @@
         &mut self,
         rollout: &OpenRollout,
         state: RolloutState,
-    ) -> Result<(), Interrupted> {
+    ) -> Result<(), ReadError> {
         let shared = self.shared.clone();
         let key = shared.protocol().rollout_status_key(&rollout.service);
-        let newest = newest(&shared, &mut self.client, Topic::Status, CALL_TIMEOUT).await;
+        let newest = read_newest(&shared, &mut self.client, Topic::Status, CALL_TIMEOUT).await;
         let (records, end) = newest?;
         let previous = records.iter().find(|record| record.key == key);
         let previous = previous.and_then(|record| record.value.as_deref());
@@ -148,7 +148,7 @@
             ordered_at: Some(rollout.ordered_at),
         };
         let value = shared.protocol().rollout_status(&status);
-        let written = append_only_at(
+        let written = append_if_end(
             &shared,
             &mut self.client,
             Topic::Status,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -30,6 +30,7 @@
 use crate::gateway::instance::InstanceId;
 use crate::gateway::joining::Seeds;
 use crate::gateway::loads::SharedLoads;
+use crate::gateway::logreads::LogReads;
 use crate::gateway::movequeue::MoveQueueHandle;
 use crate::gateway::partition::PartitionDetector;
 use crate::gateway::peerfetch::ListCache;
@@ -41,7 +42,6 @@
 use crate::gateway::protocol::Protocol;
 use crate::gateway::queue::QueueHandle;
 use crate::gateway::reachability::Reachability;
-use crate::gateway::reading::ReadingBoard;
 use crate::gateway::reportedloads::ReportedLoads;
 use crate::gateway::retrybudget::SharedRetryBudget;
 use crate::gateway::rollouts::evidence::EvidenceStore;
@@ -102,7 +102,7 @@
     /// The log era in which an unreadable era was last logged, so that it is logged once per era.
     bad_era_logged_in: Mutex<Option<Era>>,
     retry_budgets: Mutex<HashMap<ServiceId, SharedRetryBudget>>,
-    log_reads: Mutex<ReadingBoard>,
+    log_reads: Mutex<LogReads>,
     announcements: watch::Sender<u64>,
     read_changes: watch::Sender<u64>,
     shutdown_deadline: OnceLock<Instant>,
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -6,7 +6,7 @@
 use super::lock;
 use crate::event::EventCode;
 use crate::gateway::position::Era;
-use crate::gateway::position::ToldEra;
+use crate::gateway::position::StatedEra;
 use crate::telemetry;
 use crate::telemetry::Metric;
 
@@ -27,14 +27,14 @@
     /// [`StaleAnswer`] if the log has been restored from an older copy since.
     pub(crate) fn check_answer_era(&self, headers: &HeaderMap) -> Result<Era, StaleAnswer> {
         let known = self.log_era();
-        match ToldEra::of(headers, &self.protocol().headers().log_era) {
-            ToldEra::Era(era) if era < known => Err(StaleAnswer),
-            ToldEra::Era(era) => {
+        match StatedEra::from_headers(headers, &self.protocol().headers().log_era) {
+            StatedEra::Era(era) if era < known => Err(StaleAnswer),
+            StatedEra::Era(era) => {
                 self.receive_era(era, "log");
                 Ok(era)
             }
-            ToldEra::Nothing => Ok(known),
-            ToldEra::Unreadable => {
+            StatedEra::Nothing => Ok(known),
+            StatedEra::Unreadable => {
                 self.log_bad_era();
                 Ok(known)
             }
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -6,14 +6,14 @@
 use super::lock;
 use crate::event::EventCode;
 use crate::gateway::datagram::Topics;
+use crate::gateway::logreads;
+use crate::gateway::logreads::ReadScope;
 use crate::gateway::protocol::Topic;
-use crate::gateway::reading;
-use crate::gateway::reading::Audience;
 
 impl Shared {
     /// Whether this host's last read of a topic failed, or none has succeeded yet.
     pub fn is_log_unreachable(&self, topic: Topic) -> bool {
-        lock(&self.0.log_reads).is_lost(topic)
+        lock(&self.0.log_reads).is_unreachable(topic)
     }
 
     /// Whether this host is one of the readers of a topic of the log.
@@ -69,7 +69,7 @@
     /// Whether this host reads the log on behalf of other hosts.
     pub(crate) fn reads_for_others(&self) -> bool {
         let reading = self.read_topics();
-        self.audience() == Audience::Others && (reading.operator || reading.upstreams)
+        self.read_scope() == ReadScope::Fleet && (reading.operator || reading.upstreams)
     }
 
     /// Interval between the datagrams of a host that reads the log for others.
@@ -91,16 +91,16 @@
         !self.follows_topic(Topic::Operator) || self.is_behind()
     }
 
-    fn audience(&self) -> Audience {
+    fn read_scope(&self) -> ReadScope {
         match self.is_small_fleet() {
-            true => Audience::Itself,
-            false => Audience::Others,
+            true => ReadScope::Host,
+            false => ReadScope::Fleet,
         }
     }
 
     /// How long this host's reads wait at the log for new records (long polling).
     fn poll_wait(&self) -> Duration {
-        reading::wait_for_news(self.settings().staleness_max, self.audience())
+        logreads::poll_wait(self.settings().staleness_max, self.read_scope())
     }
 
     /// How long the next read of a topic waits at the log. It doesn't wait while the topic is unreachable, so
@@ -120,7 +120,7 @@
     /// Records that the log answered a read of a topic, `delay` after the end of the requested wait.
     pub(crate) fn record_log_answer(&self, topic: Topic, delay: Duration) {
         let now = self.now();
-        let Some(outage) = lock(&self.0.log_reads).answered(now, topic, delay) else {
+        let Some(outage) = lock(&self.0.log_reads).record_answer(now, topic, delay) else {
             return;
         };
         if topic == Topic::Upstreams {
@@ -136,7 +136,7 @@
 
     /// Records that another part of the log's answer to a read of a topic has arrived.
     pub(crate) fn record_log_progress(&self, topic: Topic) {
-        lock(&self.0.log_reads).progressed(self.now(), topic);
+        lock(&self.0.log_reads).record_progress(self.now(), topic);
     }
 
     /// Records that a read of a topic failed after `waited`.
@@ -144,7 +144,7 @@
         let now = self.now();
         let (was_reachable, age) = {
             let mut reading = lock(&self.0.log_reads);
-            (reading.failed(now, topic), reading.age(now, topic))
+            (reading.record_failure(now, topic), reading.age(now, topic))
         };
         if !was_reachable {
             return;
--- a/src/gateway/shared/suspension.rs
+++ b/src/gateway/shared/suspension.rs
@@ -33,7 +33,7 @@
             return;
         };
         let now = self.now();
-        lock(&self.0.log_reads).all_lost(now);
+        lock(&self.0.log_reads).mark_all_unreachable(now);
         telemetry::count(Metric::SuspensionsTotal);
         let line = self.log().line(EventCode::HostSuspended);
         line.with("suspended_ms", suspended.as_millis() as u64)
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -18,7 +18,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::gateway::follow::CALL_TIMEOUT;
 use crate::gateway::follow::append;
-use crate::gateway::follow::newest;
+use crate::gateway::follow::read_newest;
 use crate::gateway::instance::InstanceKey;
 use crate::gateway::ownclient::OwnClient;
 use crate::gateway::protocol::Record;
@@ -177,7 +177,7 @@
 /// Merges the evidence that other hosts have written and removes expired records. Returns whether the log
 /// answered.
 async fn read_topic(shared: &Shared, client: &mut OwnClient) -> bool {
-    let records = match newest(shared, client, Topic::Suspects, CALL_TIMEOUT).await {
+    let records = match read_newest(shared, client, Topic::Suspects, CALL_TIMEOUT).await {
         Ok((records, _)) => records,
         Err(error) => {
             log::debug!("failed to read suspects from the log: {error:?}");
