--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -48,9 +48,9 @@
 /// Path of pieces.
 pub const PIECES_PATH: &str = "/peer/pieces";
 /// A source that takes a newer version while it is asked is asked once more.
-const VERSIONS_MAX: usize = 2;
+const MANIFEST_ATTEMPTS: usize = 2;
 /// A refusal of pieces costs a source little, however many hosts ask.
-const RIVALS: usize = 0;
+const SOURCE_RIVALS: usize = 0;
 /// No host asks for more pieces than the largest document has.
 const IDS_BYTES_MAX: usize = DOCUMENT_BYTES_MAX as usize / PIECE_BYTES_MIN as usize * PieceId::LEN;
 
@@ -62,8 +62,8 @@
 
 /// Serves the manifest of the configuration in force, or 404 while it is not newer.
 pub async fn serve_manifest(shared: &Shared, query: &ConfigurationQuery) -> HttpResponse {
-    let in_force = shared.active_config();
-    let newer = in_force.filter(|held| held.configuration.version > query.newer_than);
+    let active = shared.active_config();
+    let newer = active.filter(|held| held.configuration.version > query.newer_than);
     let Some(newer) = newer else {
         return HttpResponse::NotFound().finish();
     };
@@ -83,17 +83,20 @@
     let Some(serving) = Serving::begin(shared, Fetch::Configuration) else {
         return HttpResponse::ServiceUnavailable().finish();
     };
-    match frames_of(shared, &ids) {
+    match encode_frames(shared, &ids) {
         Ok(frames) => stream_frames(frames, serving),
         Err(error) => HttpResponse::BadRequest().body(error.to_string()),
     }
 }
 
-fn frames_of(shared: &Shared, ids: &[u8]) -> Result<Vec<Bytes>> {
-    let in_force = shared.active_config();
-    let cut = in_force.as_ref().map(|held| held.pieces());
+fn encode_frames(shared: &Shared, ids: &[u8]) -> Result<Vec<Bytes>> {
+    let active = shared.active_config();
+    let pieces = active.as_ref().map(|held| held.pieces());
     let frame = |id: PieceId| {
-        let packed = cut.map(|cut| cut.packed(id)).transpose()?.flatten();
+        let packed = pieces
+            .map(|pieces| pieces.packed(id))
+            .transpose()?
+            .flatten();
         Ok(frames::frame(packed.as_ref()))
     };
     frames::decode_ids(ids)?.into_iter().map(frame).collect()
@@ -114,9 +117,9 @@
 /// Begins to fetch the newest version that is known of, `wait` from now, unless that is under way.
 pub(crate) fn fetch_soon(shared: &Shared, wait: Duration) {
     shared.track_newer_version();
-    let fetching = shared.clone();
+    let task_shared = shared.clone();
     fetch_later(shared, Fetch::Configuration, wait, async move {
-        catch_up(&fetching).await;
+        catch_up(&task_shared).await;
     });
 }
 
@@ -127,7 +130,7 @@
         let holders = shared.peers(|peers| peers.holders(now, shared.config_version()));
         let step = shared.catch_up(|catch_up| catch_up.next(now, &holders, rand::random::<f64>()));
         match step {
-            Step::Ask(source) => ask(shared, source).await,
+            Step::Ask(source) => fetch_from_source(shared, source).await,
             Step::Wait(pause) => tokio::time::sleep(pause).await,
             Step::Stop => return,
         }
@@ -137,32 +140,32 @@
 /// What asking a source came to.
 enum Outcome {
     /// It is in force.
-    Taken,
+    Complete,
     /// The source serves as many as it can.
     Busy,
     /// The source has nothing newer: it has started again since it told, or this host has caught up.
-    NothingNewer,
+    UpToDate,
 }
 
-async fn ask(shared: &Shared, source: Holder) {
-    let mut fetching = Fetching::new(shared, source.address, FETCH_TIMEOUT);
-    let outcome = fetching.run(Some(source.version)).await;
+async fn fetch_from_source(shared: &Shared, source: Holder) {
+    let mut fetch = ConfigFetch::new(shared, source.address, FETCH_TIMEOUT);
+    let outcome = fetch.run(Some(source.version)).await;
     let now = shared.now();
     match outcome {
-        Ok(Outcome::Taken) => {}
-        Ok(Outcome::Busy | Outcome::NothingNewer) => shared.catch_up(|catch_up| {
-            catch_up.was_busy(now, source.address, RIVALS, rand::random::<f64>());
+        Ok(Outcome::Complete) => {}
+        Ok(Outcome::Busy | Outcome::UpToDate) => shared.catch_up(|catch_up| {
+            catch_up.was_busy(now, source.address, SOURCE_RIVALS, rand::random::<f64>());
         }),
         Err(error) => {
-            let fault = fault_of(&error);
+            let fault = classify_error(&error);
             shared.catch_up(|catch_up| catch_up.has_failed(now, source.address, fault));
-            fetching.note_failure(&error);
+            fetch.log_failure(&error);
         }
     }
-    shared.keep_assembly(fetching.assembly);
+    shared.keep_assembly(fetch.assembly);
 }
 
-fn fault_of(error: &Error) -> Fault {
+fn classify_error(error: &Error) -> Fault {
     match error {
         Error::Remote { .. } => Fault::Unanswered,
         _ => Fault::Wrong,
@@ -175,31 +178,32 @@
 ///
 /// [`Error::Remote`] if the seed doesn't answer or is busy, [`Error::Document`] if what it tells is wrong.
 pub(crate) async fn fetch_from_seed(shared: &Shared, seed: SocketAddr) -> Result<()> {
-    let mut fetching = Fetching::new(shared, seed, SEED_TIMEOUT);
-    let outcome = fetching.run(None).await;
-    shared.keep_assembly(fetching.assembly.take());
+    let mut fetch = ConfigFetch::new(shared, seed, SEED_TIMEOUT);
+    let outcome = fetch.run(None).await;
+    shared.keep_assembly(fetch.assembly.take());
     match outcome? {
-        Outcome::Taken | Outcome::NothingNewer => Ok(()),
-        Outcome::Busy => Err(fetching.source.error("it serves others")),
+        Outcome::Complete | Outcome::UpToDate => Ok(()),
+        Outcome::Busy => Err(fetch.source.error("it serves others")),
     }
 }
 
 /// A fetch from one source.
-struct Fetching<'s> {
+struct ConfigFetch<'s> {
     shared: &'s Shared,
     source: PeerClient,
     /// What is there of the document, from other sources too.
     assembly: Option<Assembly>,
 }
 
-impl<'s> Fetching<'s> {
+impl<'s> ConfigFetch<'s> {
     /// Goes on with what has arrived of a version that is still newer than the one in force.
     fn new(shared: &'s Shared, source: SocketAddr, timeout: Duration) -> Self {
-        let kept = shared.take_assembly();
-        Fetching {
+        let previous = shared.take_assembly();
+        ConfigFetch {
             shared,
             source: PeerClient::new(source, timeout),
-            assembly: kept.filter(|assembly| assembly.manifest().version > shared.config_version()),
+            assembly: previous
+                .filter(|assembly| assembly.manifest().version > shared.config_version()),
         }
     }
 
@@ -207,11 +211,11 @@
     async fn run(&mut self, version: Option<u64>) -> Result<Outcome> {
         let known = self.assembly.as_ref().map(|known| known.manifest().version);
         let mut has_manifest = known.is_some() && known == version;
-        for _ in 0..VERSIONS_MAX {
+        for _ in 0..MANIFEST_ATTEMPTS {
             if !has_manifest {
                 match self.fetch_manifest().await? {
-                    Some(manifest) => self.begin(manifest),
-                    None => return Ok(Outcome::NothingNewer),
+                    Some(manifest) => self.start_assembly(manifest),
+                    None => return Ok(Outcome::UpToDate),
                 }
             }
             if let Outcome::Busy = self.fetch_pieces().await? {
@@ -236,21 +240,21 @@
     }
 
     /// Goes on with what has arrived of another version.
-    fn begin(&mut self, manifest: Manifest) {
+    fn start_assembly(&mut self, manifest: Manifest) {
         let shelf = self.assembly.take().map(Assembly::into_shelf);
-        let in_force = self.shared.active_config();
-        let cut = in_force.as_ref().map(|held| held.pieces());
-        let assembly = Assembly::begin(manifest, cut, shelf.unwrap_or_default());
+        let active = self.shared.active_config();
+        let pieces = active.as_ref().map(|held| held.pieces());
+        let assembly = Assembly::begin(manifest, pieces, shelf.unwrap_or_default());
         self.assembly = Some(assembly);
     }
 
     async fn fetch_pieces(&mut self) -> Result<Outcome> {
         let Some(assembly) = &mut self.assembly else {
-            return Ok(Outcome::Taken);
+            return Ok(Outcome::Complete);
         };
         let missing = assembly.missing();
         if missing.is_empty() {
-            return Ok(Outcome::Taken);
+            return Ok(Outcome::Complete);
         }
         let call = OwnCall {
             method: Method::POST,
@@ -258,11 +262,11 @@
             body: frames::encode_ids(&missing),
             content_type: None,
         };
-        let mut arriving = ArrivingPieces::new(assembly, missing);
-        let watch = |arrival| arriving.take(arrival);
+        let mut receiver = PieceReceiver::new(assembly, missing);
+        let watch = |arrival| receiver.receive(arrival);
         let status = self.source.call_watched(&call, watch).await;
-        match (status, arriving.fault) {
-            (Ok(200), None) => Ok(Outcome::Taken),
+        match (status, receiver.fault) {
+            (Ok(200), None) => Ok(Outcome::Complete),
             (Ok(503), _) => Ok(Outcome::Busy),
             (Ok(200), Some(fault)) => Err(fault),
             (Ok(status), _) => Err(self.source.refused(status, PIECES_PATH)),
@@ -272,15 +276,15 @@
 
     async fn finish(&mut self) -> Result<Outcome> {
         if let Some(assembly) = self.assembly.take() {
-            let cut = assembly.finish()?;
+            let pieces = assembly.finish()?;
             let source = self.source.peer.to_string();
-            self.shared.offer_pieces(cut, &source).await?;
+            self.shared.offer_pieces(pieces, &source).await?;
         }
-        Ok(Outcome::Taken)
+        Ok(Outcome::Complete)
     }
 
-    fn note_failure(&self, error: &Error) {
-        if let Fault::Wrong = fault_of(error) {
+    fn log_failure(&self, error: &Error) {
+        if let Fault::Wrong = classify_error(error) {
             telemetry::count(Metric::BadDocumentsTotal);
         }
         let assembly = self.assembly.as_ref();
@@ -295,31 +299,31 @@
 }
 
 /// Puts pieces where they belong as they arrive.
-struct ArrivingPieces<'a> {
+struct PieceReceiver<'a> {
     assembly: &'a mut Assembly,
-    due: std::vec::IntoIter<PieceId>,
+    expected: std::vec::IntoIter<PieceId>,
     frames: FrameReader,
     /// What was wrong first. Nothing is taken after it.
     fault: Option<Error>,
 }
 
-impl<'a> ArrivingPieces<'a> {
-    fn new(assembly: &'a mut Assembly, due: Vec<PieceId>) -> Self {
-        ArrivingPieces {
+impl<'a> PieceReceiver<'a> {
+    fn new(assembly: &'a mut Assembly, expected: Vec<PieceId>) -> Self {
+        PieceReceiver {
             assembly,
-            due: due.into_iter(),
+            expected: expected.into_iter(),
             frames: FrameReader::default(),
             fault: None,
         }
     }
 
-    fn take(&mut self, arrival: Arrival) {
+    fn receive(&mut self, arrival: Arrival) {
         let Arrival::Body(bytes) = arrival else {
             return;
         };
         self.frames.push(&bytes);
         while self.fault.is_none() {
-            match self.take_next() {
+            match self.receive_next() {
                 Ok(true) => {}
                 Ok(false) => return,
                 Err(fault) => self.fault = Some(fault),
@@ -328,11 +332,11 @@
     }
 
     /// Whether a piece had arrived.
-    fn take_next(&mut self) -> Result<bool> {
+    fn receive_next(&mut self) -> Result<bool> {
         let Some(packed) = self.frames.next_piece()? else {
             return Ok(false);
         };
-        let Some(id) = self.due.next() else {
+        let Some(id) = self.expected.next() else {
             return Err(Error::Document("more pieces than asked for".to_owned()));
         };
         if !packed.is_empty() {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -9,7 +9,7 @@
 use http::HeaderMap;
 use tokio::time::Instant;
 
-use self::calls::era_of;
+use self::calls::check_era;
 use crate::clock::Time;
 use crate::error::Error;
 use crate::error::Result;
@@ -46,15 +46,15 @@
 const BACKOFF_MAX: Duration = Duration::from_millis(700);
 /// Hosts that don't look out for a log that is away try it this seldom: calls are priced also while
 /// they are refused.
-const AWAY_PAUSE: Duration = Duration::from_millis(3_000);
+const UNREACHABLE_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
 /// A host that a seed has told what is in force waits so long for the first word of a reader: 295 hosts
 /// that start together hear it after 2.2 s, and each made 23 calls meanwhile, as upstreams list themselves
 /// then. Short against the bounds on staleness, which hold for hosts that have run for 3 s and more.
-const FIRST_WORD_WAIT: Duration = Duration::from_millis(2_500);
+const FIRST_READER_WAIT: Duration = Duration::from_millis(2_500);
 /// How often a host that listens looks whether it has to read for itself.
-const READER_CHECK: Duration = Duration::from_millis(100);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The same while it has just started.
-const JOIN_CHECK: Duration = Duration::from_millis(20);
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// A host that starts gives those that its seeds name this time to tell what they know, and reads the
 /// log only then: hundreds that start together would all read all of it. With 0.4 s most of 78 did, as
 /// their seeds, of a tenth of a core, could not answer all by then.
@@ -62,10 +62,10 @@
 /// and so much longer for each host that they tell of.
 const JOIN_WAIT_PER_HOST: Duration = Duration::from_millis(1);
 /// While it hears others that know, a host leaves the log alone for this time.
-const SERVED_WAIT: Duration = Duration::from_secs(6);
+const PEER_FETCH_WAIT: Duration = Duration::from_secs(6);
 
 /// So much of a record that can't be used is shown in the log.
-const SHOWN_BYTES: usize = 48;
+const LOGGED_BYTES_MAX: usize = 48;
 
 /// Why a topic must be read anew or later.
 #[derive(Debug)]
@@ -81,7 +81,7 @@
 }
 
 /// What a step of following comes to.
-pub(crate) type Step<T> = std::result::Result<T, ReadError>;
+pub(crate) type ReadResult<T> = std::result::Result<T, ReadError>;
 
 impl From<Error> for ReadError {
     fn from(error: Error) -> Self {
@@ -99,8 +99,8 @@
     };
     let mut backoff = new_backoff();
     loop {
-        if follower.is_fresh_elsewhere() {
-            tick(follower.check_pause()).await;
+        if follower.relies_on_peers() {
+            tick(follower.check_interval()).await;
             continue;
         }
         let began = Instant::now();
@@ -108,9 +108,9 @@
         let next = follower.next;
         let mut wakes = shared.watch_wakeups();
         let step = tokio::select! {
-            step = follower.advance() => step,
-            () = return_elsewhere(&shared, topic) => Err(ReadError::ReachableElsewhere),
-            () = later_era(&shared, next) => Err(ReadError::Truncated),
+            step = follower.read_next() => step,
+            () = wait_for_peer_read(&shared, topic) => Err(ReadError::ReachableElsewhere),
+            () = wait_for_later_era(&shared, next) => Err(ReadError::Truncated),
             _ = wakes.changed() => Err(ReadError::Suspended),
         };
         match step {
@@ -123,7 +123,7 @@
             Err(ReadError::Unavailable(reason)) => {
                 shared.record_log_failure(topic, began.elapsed(), &reason);
                 let pause = backoff.next().unwrap_or(BACKOFF_MAX);
-                follower.wait_for_return(pause).await;
+                follower.wait_before_retry(pause).await;
             }
         }
     }
@@ -141,14 +141,14 @@
 /// Returns as soon as another host begins to read a topic that this host can't read. A call that it
 /// made before may never be answered, and the next one probably is: without this word the eight hosts of
 /// a deployment read both topics again 0.03 to 2.3 s after the log's return (own lines of one play).
-async fn return_elsewhere(shared: &Shared, topic: Topic) {
+async fn wait_for_peer_read(shared: &Shared, topic: Topic) {
     let was_answered = shared.log_age(topic).is_some();
     if !was_answered || !shared.is_log_unreachable(topic) {
         return std::future::pending().await;
     }
     let mut was_read = shared.has_live_reader(topic);
     loop {
-        tick(READER_CHECK).await;
+        tick(READER_CHECK_INTERVAL).await;
         let is_read = shared.has_live_reader(topic);
         if is_read && !was_read {
             return;
@@ -159,12 +159,12 @@
 
 /// Returns as soon as this host hears of a later history of the log than the one that it reads on in. The
 /// read that it made may wait for a record that was written long ago under another offset.
-async fn later_era(shared: &Shared, next: Option<Position>) {
+async fn wait_for_later_era(shared: &Shared, next: Option<Position>) {
     let Some(next) = next else {
         return std::future::pending().await;
     };
     while shared.log_era() <= next.era {
-        tick(READER_CHECK).await;
+        tick(READER_CHECK_INTERVAL).await;
     }
 }
 
@@ -179,11 +179,11 @@
     /// Whether other hosts follow the log for this one, or may be about to tell what they know.
     /// Where it begins again it starts from the newest records, since it doesn't know what they
     /// have read.
-    fn is_fresh_elsewhere(&mut self) -> bool {
-        let begun = self.next.is_some() || self.shared.is_ready();
-        let elsewhere = match begun {
-            true => self.shared.delegates_reading(self.topic) || self.awaits_first_word(),
-            false => self.is_joining() || self.is_served_by_others(),
+    fn relies_on_peers(&mut self) -> bool {
+        let has_started = self.next.is_some() || self.shared.is_ready();
+        let elsewhere = match has_started {
+            true => self.shared.delegates_reading(self.topic) || self.awaits_first_reader(),
+            false => self.is_joining() || self.can_fetch_from_peers(),
         };
         if elsewhere {
             self.next = None;
@@ -191,68 +191,68 @@
         elsewhere
     }
 
-    fn check_pause(&self) -> Duration {
+    fn check_interval(&self) -> Duration {
         match self.is_joining() {
-            true => JOIN_CHECK,
-            false => READER_CHECK,
+            true => JOIN_CHECK_INTERVAL,
+            false => READER_CHECK_INTERVAL,
         }
     }
 
     /// Whether this host knows nothing yet and has others to ask that do: of hundreds that start together each gets the
     /// list when its turn comes.
-    fn is_served_by_others(&self) -> bool {
+    fn can_fetch_from_peers(&self) -> bool {
         let now = self.shared.now();
-        let hears_holder = self
+        let has_holder = self
             .shared
             .peers(|peers| peers.hears_holder(now, self.topic));
-        hears_holder && self.is_younger_than(SERVED_WAIT)
+        has_holder && self.started_within(PEER_FETCH_WAIT)
     }
 
     /// Whether this host has just started and others may know what it lacks. Seeds read at once, and
     /// so does a host that can't connect to any.
     fn is_joining(&self) -> bool {
-        let told = self.shared.fleet_size_estimate();
-        self.is_younger_than(JOIN_WAIT + JOIN_WAIT_PER_HOST * told)
+        let hosts = self.shared.fleet_size_estimate();
+        self.started_within(JOIN_WAIT + JOIN_WAIT_PER_HOST * hosts)
     }
 
     /// Whether this host knows from a seed what is in force, and hasn't heard yet who reads the log.
-    fn awaits_first_word(&self) -> bool {
+    fn awaits_first_reader(&self) -> bool {
         self.next.is_none()
             && !self.shared.has_live_reader(self.topic)
-            && self.is_younger_than(FIRST_WORD_WAIT.max(self.shared.reader_interval() * 2))
+            && self.started_within(FIRST_READER_WAIT.max(self.shared.reader_interval() * 2))
     }
 
-    fn is_younger_than(&self, age: Duration) -> bool {
+    fn started_within(&self, age: Duration) -> bool {
         let settings = self.shared.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
-        let is_young = self.shared.now() < Time::ZERO + age;
-        is_young && !is_seed && self.shared.seed_state() != Seeds::Away
+        let is_recent = self.shared.now() < Time::ZERO + age;
+        is_recent && !is_seed && self.shared.seed_state() != Seeds::Away
     }
 
     /// Waits before the log is tried again: for `pause` on the hosts that look out for its return,
     /// else longer, unless such a host reads it again before. A host that knows nothing yet doesn't
     /// wait for others.
-    async fn wait_for_return(&mut self, pause: Duration) {
+    async fn wait_before_retry(&mut self, pause: Duration) {
         let shared = self.shared.clone();
         tokio::select! {
-            () = self.pause_before_try(pause) => {}
-            () = return_elsewhere(&shared, self.topic) => {}
+            () = self.pause_before_retry(pause) => {}
+            () = wait_for_peer_read(&shared, self.topic) => {}
         }
     }
 
-    async fn pause_before_try(&self, pause: Duration) {
+    async fn pause_before_retry(&self, pause: Duration) {
         tokio::time::sleep(pause).await;
-        let tries_again = Instant::now() + AWAY_PAUSE;
-        while Instant::now() < tries_again
+        let retry_at = Instant::now() + UNREACHABLE_RETRY_INTERVAL;
+        while Instant::now() < retry_at
             && self.shared.is_ready()
             && !self.shared.is_log_prober()
             && !self.shared.delegates_reading(self.topic)
         {
-            tick(READER_CHECK).await;
+            tick(READER_CHECK_INTERVAL).await;
         }
     }
 
-    async fn advance(&mut self) -> Step<()> {
+    async fn read_next(&mut self) -> ReadResult<()> {
         match self.next {
             None => self.read_newest().await,
             Some(next) => self.read_from(next).await,
@@ -261,7 +261,7 @@
 
     /// Starts from the newest record of each key. The first page's end is where reading goes on, so
     /// nothing is missed that changes while further pages are read.
-    async fn read_newest(&mut self) -> Step<()> {
+    async fn read_newest(&mut self) -> ReadResult<()> {
         let timeout = self.newest_timeout();
         let began = Instant::now();
         let (records, end) =
@@ -273,8 +273,8 @@
         }
         self.shared.record_log_answer(self.topic, began.elapsed());
         match self.topic {
-            Topic::Operator => self.take_operator(&records).await,
-            Topic::Upstreams => self.take_all_upstreams(&records, end),
+            Topic::Operator => self.apply_operator(&records).await,
+            Topic::Upstreams => self.replace_upstreams(&records, end),
             Topic::Hosts | Topic::Suspects | Topic::Status => {}
         }
         self.next = Some(end);
@@ -289,7 +289,7 @@
         }
     }
 
-    async fn read_from(&mut self, next: Position) -> Step<()> {
+    async fn read_from(&mut self, next: Position) -> ReadResult<()> {
         let wait = self.shared.next_poll_wait(self.topic);
         let timeout = wait + self.shared.answer_slack(self.topic);
         let call = self
@@ -297,12 +297,12 @@
             .protocol()
             .read_call(self.topic, next.offset, wait);
         let wakes = self.shared.watch_wakeups();
-        let (answer, begun_after) = self.call(&call, timeout).await?;
+        let (answer, head_after) = self.call(&call, timeout).await?;
         self.shared.check_suspension();
         if wakes.has_changed().unwrap_or(false) {
             return Err(ReadError::Suspended);
         }
-        let era = era_of(&self.shared, &answer.headers)?;
+        let era = check_era(&self.shared, &answer.headers)?;
         if era != next.era {
             // The same offset names another record, or none.
             return Err(ReadError::Truncated);
@@ -315,7 +315,7 @@
         let protocol = self.shared.protocol();
         let batch = protocol.decode_read(next.offset, &answer.body)?;
         let read_to = Position::new(era, batch.next);
-        let delay = begun_after.saturating_sub(wait);
+        let delay = head_after.saturating_sub(wait);
         if self.topic == Topic::Operator {
             self.shared.apply_evacuations(&batch.records, read_to);
             self.shared
@@ -323,8 +323,8 @@
         }
         self.shared.record_log_answer(self.topic, delay);
         match self.topic {
-            Topic::Operator => self.take_operator(&batch.records).await,
-            Topic::Upstreams => self.take_upstreams(&batch.records, read_to),
+            Topic::Operator => self.apply_operator(&batch.records).await,
+            Topic::Upstreams => self.apply_upstreams(&batch.records, read_to),
             Topic::Hosts | Topic::Suspects | Topic::Status => {}
         }
         self.next = Some(read_to);
@@ -335,7 +335,7 @@
     /// the link longer than an answer may be late. Tells also when the answer began.
     async fn call(&mut self, call: &OwnCall, timeout: Duration) -> Result<(OwnAnswer, Duration)> {
         let began = Instant::now();
-        let mut begun_after = Duration::ZERO;
+        let mut head_after = Duration::ZERO;
         let mut headers = HeaderMap::new();
         let mut body = BytesMut::new();
         let shared = &self.shared;
@@ -344,7 +344,7 @@
             shared.record_log_progress(topic);
             match arrival {
                 Arrival::Head(head) => {
-                    begun_after = began.elapsed();
+                    head_after = began.elapsed();
                     headers = head;
                 }
                 Arrival::Body(bytes) => body.extend_from_slice(&bytes),
@@ -356,10 +356,10 @@
             headers,
             body: body.freeze(),
         };
-        Ok((answer, begun_after))
+        Ok((answer, head_after))
     }
 
-    async fn take_operator(&self, records: &[Record]) {
+    async fn apply_operator(&self, records: &[Record]) {
         for record in records {
             if let Some(value) = &record.value {
                 let shared = &self.shared;
@@ -368,13 +368,13 @@
         }
     }
 
-    fn take_upstreams(&self, records: &[Record], next: Position) {
+    fn apply_upstreams(&self, records: &[Record], next: Position) {
         let now = self.shared.now();
         let mut changes = Vec::new();
         for record in records {
             let id = UpstreamId::new(record.key.as_str());
             let at = Position::new(next.era, record.offset);
-            let upstream = listed_upstream(&self.shared, &id, record, at);
+            let upstream = decode_upstream(&self.shared, &id, record, at);
             let change = self
                 .shared
                 .directory(|directory| directory.apply(now, &id, upstream, at));
@@ -385,12 +385,12 @@
             .record_changes(changes, ChangeSource::Local("log"));
     }
 
-    fn take_all_upstreams(&self, records: &[Record], end: Position) {
+    fn replace_upstreams(&self, records: &[Record], end: Position) {
         let now = self.shared.now();
         let listed = records.iter().filter_map(|record| {
             let id = UpstreamId::new(record.key.as_str());
             let at = Position::new(end.era, record.offset);
-            let upstream = listed_upstream(&self.shared, &id, record, at)?;
+            let upstream = decode_upstream(&self.shared, &id, record, at)?;
             Some((upstream, at))
         });
         let listed = listed.collect();
@@ -404,7 +404,7 @@
 
 /// The upstream that a record names; none where the key was removed, and where another writer's record
 /// names none: an upstream that it replaces is gone like one removed.
-fn listed_upstream(
+fn decode_upstream(
     shared: &Shared,
     id: &UpstreamId,
     record: &Record,
@@ -414,25 +414,25 @@
     match shared.protocol().upstream(&record.key, value) {
         Ok(upstream) => Some(upstream),
         Err(error) => {
-            note_foreign(shared, id, at, value, &error);
+            log_foreign(shared, id, at, value, &error);
             None
         }
     }
 }
 
 /// Says once of each record that it names no upstream.
-fn note_foreign(shared: &Shared, id: &UpstreamId, at: Position, value: &[u8], error: &Error) {
+fn log_foreign(shared: &Shared, id: &UpstreamId, at: Position, value: &[u8], error: &Error) {
     if !shared.directory(|directory| directory.note_foreign(id, at)) {
         return;
     }
     telemetry::count(Metric::ForeignRecordsTotal);
-    let shown = &value[..value.len().min(SHOWN_BYTES)];
+    let prefix = &value[..value.len().min(LOGGED_BYTES_MAX)];
     let line = shared.log().line(EventCode::RecordSkipped);
     line.with("source", "upstreams")
         .with("key", id.as_str())
         .with("position", at.to_string())
         .with("reason", error.to_string())
         .with("bytes", value.len())
-        .with("begins", shown.escape_ascii().to_string())
+        .with("begins", prefix.escape_ascii().to_string())
         .write();
 }
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -6,7 +6,7 @@
 
 use super::CALL_TIMEOUT;
 use super::ReadError;
-use super::Step;
+use super::ReadResult;
 use crate::error::Error;
 use crate::error::Result;
 use crate::gateway::ownclient::OwnClient;
@@ -18,10 +18,10 @@
 use crate::gateway::shared::StaleAnswer;
 
 /// The status of an append under a condition that doesn't hold (RFC 9110, section 15.5.13).
-const CONDITION_FAILED: u16 = 412;
+const PRECONDITION_FAILED: u16 = 412;
 
 /// The history of the log that an answer is of.
-pub(super) fn era_of(shared: &Shared, headers: &HeaderMap) -> Step<Era> {
+pub(super) fn check_era(shared: &Shared, headers: &HeaderMap) -> ReadResult<Era> {
     shared.check_answer_era(headers).map_err(|StaleAnswer| {
         ReadError::Unavailable("an answer from before the log's return".to_owned())
     })
@@ -34,14 +34,14 @@
     client: &mut OwnClient,
     topic: Topic,
     timeout: Duration,
-) -> Step<(Vec<Record>, Position)> {
+) -> ReadResult<(Vec<Record>, Position)> {
     let mut records: Vec<Record> = Vec::new();
     let mut end = None;
     loop {
         let after = records.last().map(|record| record.key.clone());
         let call = shared.protocol().newest_call(topic, after.as_deref());
         let answer = client.call_whole(&call, timeout).await?;
-        let era = era_of(shared, &answer.headers)?;
+        let era = check_era(shared, &answer.headers)?;
         if answer.status != 200 {
             return Err(ReadError::Unavailable(format!("status {}", answer.status)));
         }
@@ -95,7 +95,7 @@
     let call = protocol.append_call(topic, key, value, Some(end.offset));
     match client.call(&call, CALL_TIMEOUT).await? {
         (200, _) => Ok(true),
-        (CONDITION_FAILED, _) => Ok(false),
+        (PRECONDITION_FAILED, _) => Ok(false),
         (status, _) => Err(refused(status)),
     }
 }
--- a/src/gateway/logreads/tests.rs
+++ b/src/gateway/logreads/tests.rs
@@ -22,30 +22,30 @@
     let bound = Duration::from_secs(2);
     let connecting = Duration::from_millis(400);
 
-    let alone = poll_wait(bound, ReadScope::Host) + ANSWER_SLACK_MIN + connecting;
-    let for_others = poll_wait(bound, ReadScope::Fleet) + ANSWER_SLACK_MIN;
+    let host_read = poll_wait(bound, ReadScope::Host) + ANSWER_SLACK_MIN + connecting;
+    let fleet_read = poll_wait(bound, ReadScope::Fleet) + ANSWER_SLACK_MIN;
 
-    assert!(alone <= bound, "{alone:?}");
-    assert!(for_others <= bound / 2, "{for_others:?}");
+    assert!(host_read <= bound, "{host_read:?}");
+    assert!(fleet_read <= bound / 2, "{fleet_read:?}");
 }
 
 #[test]
-fn each_topic_is_lost_and_found_by_itself() {
+fn each_topic_becomes_unreachable_and_reachable_by_itself() {
     let mut board = answered_at(1_000);
     board.record_answer(Time::from_ms(1_000), Topic::Operator, SOON);
 
-    let is_news = board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
+    let was_reachable = board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
     let again = board.record_failure(Time::from_ms(2_500), Topic::Upstreams);
 
-    assert!(is_news && !again);
+    assert!(was_reachable && !again);
     assert!(board.is_unreachable(Topic::Upstreams));
     assert!(!board.is_unreachable(Topic::Operator));
-    let away = board.record_answer(Time::from_ms(3_000), Topic::Upstreams, SOON);
-    assert_eq!(away, Some(Duration::from_secs(1)));
+    let outage = board.record_answer(Time::from_ms(3_000), Topic::Upstreams, SOON);
+    assert_eq!(outage, Some(Duration::from_secs(1)));
 }
 
 #[test]
-fn a_topic_that_was_never_read_is_lost() {
+fn a_topic_that_was_never_read_is_unreachable() {
     let board = LogReads::default();
 
     assert!(board.is_unreachable(Topic::Operator));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_lost_topic_is_not_trusted_at_once() {
+fn an_unreachable_topic_is_not_trusted_at_once() {
     let mut board = answered_at(1_000);
 
     board.record_failure(Time::from_ms(1_100), Topic::Upstreams);
@@ -74,10 +74,10 @@
 #[test]
 fn the_time_for_an_answer_follows_a_slow_log() {
     let mut board = answered_at(1_000);
-    let at_first = board.answer_slack(Topic::Upstreams);
+    let initial = board.answer_slack(Topic::Upstreams);
 
     board.record_failure(Time::from_ms(2_000), Topic::Upstreams);
-    let after_a_loss = board.answer_slack(Topic::Upstreams);
+    let after_failure = board.answer_slack(Topic::Upstreams);
     board.record_answer(
         Time::from_ms(3_000),
         Topic::Upstreams,
@@ -88,14 +88,14 @@
         board.record_answer(Time::from_ms(4_000), Topic::Upstreams, SOON);
     }
 
-    assert_eq!(at_first, ANSWER_SLACK_MIN);
-    assert_eq!(after_a_loss, ANSWER_SLACK_MIN * 2);
+    assert_eq!(initial, ANSWER_SLACK_MIN);
+    assert_eq!(after_failure, ANSWER_SLACK_MIN * 2);
     assert_eq!(while_slow, Duration::from_millis(900));
     assert_eq!(board.answer_slack(Topic::Upstreams), ANSWER_SLACK_MIN);
 }
 
 #[test]
-fn the_time_for_an_answer_is_bound() {
+fn the_time_for_an_answer_is_bounded() {
     let mut board = answered_at(1_000);
 
     for _ in 0..9 {
--- a/tests/silentlog/mod.rs
+++ b/tests/silentlog/mod.rs
@@ -18,13 +18,13 @@
 
 /// What the log tells is in force within the shortest bound of a deployment; a second is for a busy
 /// machine.
-const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000 + 1_000);
+const ACTIVE_WITHIN: Duration = Duration::from_millis(2_000 + 1_000);
 /// Where a few hosts read for all, the bound is longer.
-const IN_FORCE_EVERYWHERE_WITHIN: Duration = Duration::from_millis(3_000 + 1_000);
+const ACTIVE_EVERYWHERE_WITHIN: Duration = Duration::from_millis(3_000 + 1_000);
 /// Hosts that read the log for themselves make a call at least this often while it changes.
-const QUIET: Duration = Duration::from_millis(500);
+const QUIET_TIME: Duration = Duration::from_millis(500);
 /// From so many hosts on a few of them read the log for all.
-const FLEET: usize = 14;
+const FLEET_HOSTS: usize = 14;
 
 fn refuses_route(world: &World) -> bool {
     ask(world.callers(), &get("/nets/7", "")).status == 404
@@ -35,7 +35,7 @@
     ask(world.callers(), &get("/nets/7", "")).status == 503
 }
 
-fn sound(id: &str) -> FakeUpstream {
+fn healthy_upstream(id: &str) -> FakeUpstream {
     FakeUpstream::start(id, &[Behaviour::Answer(200, "sound")])
 }
 
@@ -57,12 +57,12 @@
     world.log.set_silence(Silence::None);
 
     world.list(&upstreams[0], "leaving");
-    let noticed_at = Instant::now();
-    let heard = wait_until(|| refuses_calls(&world));
+    let notice_at = Instant::now();
+    let noticed = wait_until(|| refuses_calls(&world));
 
-    assert!(lost && heard);
-    let took = noticed_at.elapsed();
-    assert!(took < IN_FORCE_WITHIN, "{took:?}");
+    assert!(lost && noticed);
+    let took = notice_at.elapsed();
+    assert!(took < ACTIVE_WITHIN, "{took:?}");
 }
 
 // The same of what operators publish.
@@ -77,21 +77,21 @@
 
     world.log.put("operator", "table", &table(3, json!([])));
     let published_at = Instant::now();
-    let in_force = wait_until(|| refuses_route(&world));
+    let is_active = wait_until(|| refuses_route(&world));
 
-    assert!(lost && in_force);
+    assert!(lost && is_active);
     let took = published_at.elapsed();
-    assert!(took < IN_FORCE_WITHIN, "{took:?}");
+    assert!(took < ACTIVE_WITHIN, "{took:?}");
 }
 
-fn reads_of_others(fleet: &[World]) -> usize {
+fn other_hosts_reads(fleet: &[World]) -> usize {
     fleet[1..].iter().map(|host| host.log.reads()).sum()
 }
 
 /// A fleet that serves by one upstream, of which only the first host reads the log.
 fn settled_fleet() -> (Vec<World>, FakeUpstream) {
-    let fleet = World::start_fleet(FLEET);
-    let upstream = sound("up-0");
+    let fleet = World::start_fleet(FLEET_HOSTS);
+    let upstream = healthy_upstream("up-0");
     let mut version = 0;
     let mut reads = 0;
     let mut quiet_since = Instant::now();
@@ -103,12 +103,12 @@
             .log
             .put("operator", "table", &table(version, routes));
         fleet[0].list(&upstream, "ready");
-        let in_force = wait_until(|| fleet.iter().all(|host| host.has_version(version)));
-        if reads != reads_of_others(&fleet) {
-            reads = reads_of_others(&fleet);
+        let is_active = wait_until(|| fleet.iter().all(|host| host.has_version(version)));
+        if reads != other_hosts_reads(&fleet) {
+            reads = other_hosts_reads(&fleet);
             quiet_since = Instant::now();
         }
-        in_force && quiet_since.elapsed() > QUIET && fleet.iter().all(World::is_ready)
+        is_active && quiet_since.elapsed() > QUIET_TIME && fleet.iter().all(World::is_ready)
     });
     assert!(settled, "other hosts go on reading the log");
     (fleet, upstream)
@@ -124,21 +124,18 @@
     let (fleet, upstream) = settled_fleet();
     fleet[0].log.set_silence(Silence::AllCalls);
 
-    let told_at = Instant::now();
+    let notice_at = Instant::now();
     fleet[0].list(&upstream, "leaving");
-    let heard = wait_until(|| fleet[1..].iter().all(refuses_calls));
-    let hearing_took = told_at.elapsed();
+    let noticed = wait_until(|| fleet[1..].iter().all(refuses_calls));
+    let notice_took = notice_at.elapsed();
     fleet[0]
         .log
         .put("operator", "table", &table(999, json!([])));
     let published_at = Instant::now();
-    let in_force = wait_until(|| fleet[1..].iter().all(refuses_route));
+    let is_active = wait_until(|| fleet[1..].iter().all(refuses_route));
 
-    assert!(heard && in_force);
-    assert!(
-        hearing_took < IN_FORCE_EVERYWHERE_WITHIN,
-        "{hearing_took:?}"
-    );
+    assert!(noticed && is_active);
+    assert!(notice_took < ACTIVE_EVERYWHERE_WITHIN, "{notice_took:?}");
     let took = published_at.elapsed();
-    assert!(took < IN_FORCE_EVERYWHERE_WITHIN, "{took:?}");
+    assert!(took < ACTIVE_EVERYWHERE_WITHIN, "{took:?}");
 }
