--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -37,7 +37,7 @@
 use crate::gateway::peerfetch::SEED_TIMEOUT;
 use crate::gateway::peerfetch::fetch_later;
 use crate::gateway::peers::Fetch;
-use crate::gateway::protocol::OwnCall;
+use crate::gateway::protocol::InternalRequest;
 use crate::gateway::shared::Shared;
 use crate::gateway::transferguard::TransferGuard;
 use crate::telemetry;
@@ -252,7 +252,7 @@
         if missing.is_empty() {
             return Ok(Outcome::Taken);
         }
-        let call = OwnCall {
+        let call = InternalRequest {
             method: Method::POST,
             path: PIECES_PATH.to_owned(),
             body: frames::encode_ids(&missing),
--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -64,7 +64,7 @@
 }
 
 async fn poll(shared: &Shared, engine: &Upstream) {
-    let call = shared.protocol().report_call();
+    let call = shared.protocol().report_request();
     let mut client = OwnClient::new(engine.address);
     match client.call(&call, POLL_TIMEOUT).await {
         Ok((200, body)) => handle_report(shared, engine, &body),
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -20,7 +20,7 @@
 use crate::gateway::ownclient::OwnAnswer;
 use crate::gateway::ownclient::OwnClient;
 use crate::gateway::position::Position;
-use crate::gateway::protocol::OwnCall;
+use crate::gateway::protocol::InternalRequest;
 use crate::gateway::protocol::Record;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::ChangeSource;
@@ -294,7 +294,7 @@
         let call = self
             .shared
             .protocol()
-            .read_call(self.topic, next.offset, wait);
+            .read_request(self.topic, next.offset, wait);
         let wakes = self.shared.watch_wakeups();
         let (answer, begun_after) = self.call(&call, timeout).await?;
         self.shared.check_suspension();
@@ -332,7 +332,11 @@
 
     /// Makes a call whose answer shows, from its head on, that the log answers: a large document may take
     /// the link longer than an answer may be late. Tells also when the answer began.
-    async fn call(&mut self, call: &OwnCall, timeout: Duration) -> Result<(OwnAnswer, Duration)> {
+    async fn call(
+        &mut self,
+        call: &InternalRequest,
+        timeout: Duration,
+    ) -> Result<(OwnAnswer, Duration)> {
         let began = Instant::now();
         let mut begun_after = Duration::ZERO;
         let mut headers = HeaderMap::new();
@@ -410,7 +414,7 @@
     at: Position,
 ) -> Option<Upstream> {
     let value = record.value.as_ref()?;
-    match shared.protocol().upstream(&record.key, value) {
+    match shared.protocol().decode_upstream(&record.key, value) {
         Ok(upstream) => Some(upstream),
         Err(error) => {
             note_foreign(shared, id, at, value, &error);
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -39,7 +39,7 @@
     let mut end = None;
     loop {
         let after = records.last().map(|record| record.key.clone());
-        let call = shared.protocol().newest_call(topic, after.as_deref());
+        let call = shared.protocol().newest_request(topic, after.as_deref());
         let answer = client.call_whole(&call, timeout).await?;
         let era = era_of(shared, &answer.headers)?;
         if answer.status != 200 {
@@ -55,7 +55,7 @@
         }
         // A page that ends where the one before did would be asked for again and again.
         let last = page.records.last().map(|record| &record.key);
-        let more = page.more && last.is_some() && last != after.as_ref();
+        let more = page.has_more && last.is_some() && last != after.as_ref();
         records.extend(page.records);
         if !more {
             return Ok((records, from));
@@ -75,7 +75,7 @@
     key: &str,
     value: &[u8],
 ) -> Result<()> {
-    let call = shared.protocol().append_call(topic, key, value, None);
+    let call = shared.protocol().append_request(topic, key, value, None);
     match client.call(&call, CALL_TIMEOUT).await? {
         (200, _) => Ok(()),
         (status, _) => Err(refused(status)),
@@ -95,7 +95,7 @@
     end: Position,
 ) -> Result<bool> {
     let protocol = shared.protocol();
-    let call = protocol.append_call(topic, key, value, Some(end.offset));
+    let call = protocol.append_request(topic, key, value, Some(end.offset));
     match client.call(&call, CALL_TIMEOUT).await? {
         (200, _) => Ok(true),
         (CONDITION_FAILED, _) => Ok(false),
--- a/src/gateway/migration.rs
+++ b/src/gateway/migration.rs
@@ -10,7 +10,7 @@
 
 use crate::gateway::directory::Upstream;
 use crate::gateway::ownclient::OwnClient;
-use crate::gateway::protocol::CopyDone;
+use crate::gateway::protocol::MemoryCopy;
 use crate::gateway::shared::Shared;
 
 /// Longer than the copy of the largest generation takes over a shared link.
@@ -53,10 +53,10 @@
     request_id: &str,
     to: &Upstream,
     is_final: bool,
-) -> std::result::Result<CopyDone, CopyFailure> {
+) -> std::result::Result<MemoryCopy, CopyFailure> {
     let call = shared
         .protocol()
-        .copy_call(request_id, to.address, is_final);
+        .copy_request(request_id, to.address, is_final);
     let mut client = OwnClient::new(source.address);
     let (status, body) = client
         .call(&call, COPY_TIMEOUT)
--- a/src/gateway/ownclient.rs
+++ b/src/gateway/ownclient.rs
@@ -20,7 +20,7 @@
 use crate::error::Result;
 use crate::gateway::connection::Connection;
 use crate::gateway::connection::Patience;
-use crate::gateway::protocol::OwnCall;
+use crate::gateway::protocol::InternalRequest;
 
 /// Each connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -73,7 +73,11 @@
     /// # Errors
     ///
     /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
-    pub async fn call(&mut self, call: &OwnCall, timeout: Duration) -> Result<(u16, Bytes)> {
+    pub async fn call(
+        &mut self,
+        call: &InternalRequest,
+        timeout: Duration,
+    ) -> Result<(u16, Bytes)> {
         let answer = self.call_whole(call, timeout).await?;
         Ok((answer.status, answer.body))
     }
@@ -85,7 +89,7 @@
     /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
     pub(crate) async fn call_whole(
         &mut self,
-        call: &OwnCall,
+        call: &InternalRequest,
         timeout: Duration,
     ) -> Result<OwnAnswer> {
         let mut headers = HeaderMap::new();
@@ -114,7 +118,7 @@
     /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
     pub(crate) async fn call_watched(
         &mut self,
-        call: &OwnCall,
+        call: &InternalRequest,
         timeout: Duration,
         watch: impl FnMut(Arrival),
     ) -> Result<u16> {
@@ -146,7 +150,7 @@
 async fn begin(
     address: SocketAddr,
     connection: Option<Connection>,
-    call: &OwnCall,
+    call: &InternalRequest,
 ) -> std::result::Result<(Connection, Response<Incoming>), String> {
     let mut connection = match connection {
         Some(connection) => connection,
@@ -203,7 +207,7 @@
     }
 }
 
-fn request_of(address: SocketAddr, call: &OwnCall) -> http::Result<Request<Full<Bytes>>> {
+fn request_of(address: SocketAddr, call: &InternalRequest) -> http::Result<Request<Full<Bytes>>> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -30,7 +30,7 @@
 use crate::gateway::peers::Fetch;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
-use crate::gateway::protocol::OwnCall;
+use crate::gateway::protocol::InternalRequest;
 use crate::gateway::rollouts::AnnouncedRollout;
 use crate::gateway::shared::ChangeSource;
 use crate::gateway::shared::Shared;
@@ -369,7 +369,9 @@
 
     /// Status and body of a page.
     async fn call(&mut self, path: &str) -> Result<(u16, Bytes)> {
-        self.client.call(&OwnCall::get(path), self.timeout).await
+        self.client
+            .call(&InternalRequest::get(path), self.timeout)
+            .await
     }
 
     /// A page; none if the peer has nothing newer.
@@ -384,7 +386,7 @@
     /// Makes a call whose answer is seen as it arrives.
     pub(crate) async fn call_watched(
         &mut self,
-        call: &OwnCall,
+        call: &InternalRequest,
         watch: impl FnMut(Arrival),
     ) -> Result<u16> {
         self.client.call_watched(call, self.timeout, watch).await
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -65,7 +65,7 @@
     /// The records, by key.
     pub records: Vec<Record>,
     /// Whether there are more keys after the last one.
-    pub more: bool,
+    pub has_more: bool,
     /// The offset after the log's last record.
     pub end: u64,
 }
@@ -81,7 +81,7 @@
 
 /// A call that the gateway makes itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OwnCall {
+pub struct InternalRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -92,10 +92,10 @@
     pub content_type: Option<&'static str>,
 }
 
-impl OwnCall {
+impl InternalRequest {
     /// A call without a body.
     pub fn get(path: impl Into<String>) -> Self {
-        OwnCall {
+        InternalRequest {
             method: Method::GET,
             path: path.into(),
             body: Bytes::new(),
@@ -117,7 +117,7 @@
 
 /// What came of copying a generation's memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CopyDone {
+pub struct MemoryCopy {
     /// Names the copy.
     pub handle: String,
     /// Events produced so far.
@@ -188,9 +188,9 @@
     fn headers(&self) -> &HeaderNames;
 
     /// Reads the newest record of each key after the key `after`.
-    fn newest_call(&self, topic: Topic, after: Option<&str>) -> OwnCall;
+    fn newest_request(&self, topic: Topic, after: Option<&str>) -> InternalRequest;
 
-    /// The answer to [`Protocol::newest_call`].
+    /// The answer to [`Protocol::newest_request`].
     ///
     /// # Errors
     ///
@@ -198,9 +198,9 @@
     fn decode_newest(&self, body: &[u8]) -> Result<NewestPage>;
 
     /// Reads records from `from` on, waiting up to `wait` for the first.
-    fn read_call(&self, topic: Topic, from: u64, wait: Duration) -> OwnCall;
+    fn read_request(&self, topic: Topic, from: u64, wait: Duration) -> InternalRequest;
 
-    /// The answer to [`Protocol::read_call`] from `from` on.
+    /// The answer to [`Protocol::read_request`] from `from` on.
     ///
     /// # Errors
     ///
@@ -209,7 +209,13 @@
 
     /// Appends one record to a keyed topic of the system's own; with `only_at` only if the topic ends at that offset.
     /// One that ends elsewhere answers with status 412.
-    fn append_call(&self, topic: Topic, key: &str, value: &[u8], only_at: Option<u64>) -> OwnCall;
+    fn append_request(
+        &self,
+        topic: Topic,
+        key: &str,
+        value: &[u8],
+        only_at: Option<u64>,
+    ) -> InternalRequest;
 
     /// The configuration in a record of [`Topic::Operator`], or none where the record is something
     /// else.
@@ -217,22 +223,22 @@
     /// # Errors
     ///
     /// If it is a configuration but can't be read.
-    fn configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>>;
+    fn decode_configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>>;
 
     /// What a record of [`Topic::Operator`] says of a data centre's evacuation, or none where it is about something
     /// else. One without a value takes the data centre back.
-    fn evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord>;
+    fn decode_evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord>;
 
     /// What a record of [`Topic::Operator`] says of a service's roll-out, or none where it is about something else.
-    fn rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord>;
+    fn decode_rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord>;
 
     /// The key of [`Topic::Status`] under which operators find how far a service's roll-out is.
     fn rollout_status_key(&self, service: &ServiceId) -> String;
 
     /// What stands there.
-    fn rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
+    fn encode_rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
 
-    /// The answer to [`Protocol::rollout_status`].
+    /// The answer to [`Protocol::encode_rollout_status`].
     ///
     /// # Errors
     ///
@@ -244,7 +250,7 @@
     /// # Errors
     ///
     /// Why the record names no upstream: another writer's, or one that can't be read.
-    fn upstream(&self, key: &str, value: &[u8]) -> Result<Upstream>;
+    fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<Upstream>;
 
     /// What an upstream says of its load in the headers of an answer.
     fn reported_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
@@ -254,22 +260,22 @@
 
     /// Copies the memory of the run `request_id` to the engine at `to`; with `last` the run stops
     /// first.
-    fn copy_call(&self, request_id: &str, to: SocketAddr, last: bool) -> OwnCall;
+    fn copy_request(&self, request_id: &str, to: SocketAddr, is_final: bool) -> InternalRequest;
 
-    /// The answer to [`Protocol::copy_call`].
+    /// The answer to [`Protocol::copy_request`].
     ///
     /// # Errors
     ///
     /// If it isn't one.
-    fn decode_copy(&self, body: &[u8]) -> Result<CopyDone>;
+    fn decode_copy(&self, body: &[u8]) -> Result<MemoryCopy>;
 
     /// The value of `continue_from` for the copy `handle` whose source listens at `source`.
     fn continue_value(&self, source: SocketAddr, handle: &str) -> HeaderValue;
 
     /// Asks an engine about itself.
-    fn report_call(&self) -> OwnCall;
+    fn report_request(&self) -> InternalRequest;
 
-    /// The answer to [`Protocol::report_call`].
+    /// The answer to [`Protocol::report_request`].
     ///
     /// # Errors
     ///
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -147,7 +147,7 @@
             state,
             ordered_at: Some(rollout.ordered_at),
         };
-        let value = shared.protocol().rollout_status(&status);
+        let value = shared.protocol().encode_rollout_status(&status);
         let written = append_only_at(
             &shared,
             &mut self.client,
--- a/src/gateway/shared/activeconfig.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -118,7 +118,8 @@
             )));
         }
         let (protocol, key, document) = (self.0.protocol.clone(), key.to_owned(), document.clone());
-        let decoding = tokio::task::spawn_blocking(move || protocol.configuration(&key, &document));
+        let decoding =
+            tokio::task::spawn_blocking(move || protocol.decode_configuration(&key, &document));
         decoding
             .await
             .map_err(|error| Error::Document(error.to_string()))?
--- a/src/gateway/shared/evacuations.rs
+++ b/src/gateway/shared/evacuations.rs
@@ -59,7 +59,7 @@
     fn decode_evacuations(&self, records: &[Record]) -> Vec<EvacuationRecord> {
         let decoded = records.iter().filter_map(|record| {
             let value = record.value.as_deref();
-            let evacuation = self.protocol().evacuation(&record.key, value)?;
+            let evacuation = self.protocol().decode_evacuation(&record.key, value)?;
             if let Some(flaw) = &evacuation.flaw {
                 self.log_bad_record(&record.key, flaw);
             }
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -68,7 +68,7 @@
         let mut changes = Vec::new();
         for record in records {
             let value = record.value.as_deref();
-            let Some(rollout) = self.protocol().rollout(&record.key, value) else {
+            let Some(rollout) = self.protocol().decode_rollout(&record.key, value) else {
                 continue;
             };
             if let Some(flaw) = &rollout.flaw {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -25,7 +25,7 @@
 use crate::gateway::movequeue::Ticket;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
-use crate::gateway::protocol::CopyDone;
+use crate::gateway::protocol::MemoryCopy;
 use crate::gateway::serve;
 use crate::gateway::serve::CandidateSet;
 use crate::telemetry;
@@ -54,7 +54,7 @@
 /// An engine whose predicted memory is taken to this share is no destination while others have room.
 const DESTINATION_MEMORY_SHARE_MAX: f64 = 0.9;
 
-pub(super) type CopyResult = std::result::Result<CopyDone, CopyFailure>;
+pub(super) type CopyResult = std::result::Result<MemoryCopy, CopyFailure>;
 
 /// How far a move has come.
 pub(super) enum MoveState {
--- a/tests/gatewayworld/protocol.rs
+++ b/tests/gatewayworld/protocol.rs
@@ -24,12 +24,12 @@
 use cedargauge::gateway::directory::Upstream;
 use cedargauge::gateway::evacuations::EvacuationRecord;
 use cedargauge::gateway::instance::InstanceId;
-use cedargauge::gateway::protocol::CopyDone;
 use cedargauge::gateway::protocol::EngineReport;
 use cedargauge::gateway::protocol::GenerationSize;
 use cedargauge::gateway::protocol::HeaderNames;
+use cedargauge::gateway::protocol::InternalRequest;
+use cedargauge::gateway::protocol::MemoryCopy;
 use cedargauge::gateway::protocol::NewestPage;
-use cedargauge::gateway::protocol::OwnCall;
 use cedargauge::gateway::protocol::Protocol;
 use cedargauge::gateway::protocol::ReadBatch;
 use cedargauge::gateway::protocol::Record;
@@ -99,22 +99,22 @@
         &self.headers
     }
 
-    fn newest_call(&self, topic: Topic, _after: Option<&str>) -> OwnCall {
-        OwnCall::get(format!("/newest/{}", topic.name()))
+    fn newest_request(&self, topic: Topic, _after: Option<&str>) -> InternalRequest {
+        InternalRequest::get(format!("/newest/{}", topic.name()))
     }
 
     fn decode_newest(&self, body: &[u8]) -> Result<NewestPage> {
         let page: Value = serde_json::from_slice(body)?;
         Ok(NewestPage {
             records: records(&page["records"]),
-            more: false,
+            has_more: false,
             end: page["end"].as_u64().unwrap(),
         })
     }
 
-    fn read_call(&self, topic: Topic, from: u64, wait: Duration) -> OwnCall {
+    fn read_request(&self, topic: Topic, from: u64, wait: Duration) -> InternalRequest {
         let wait_ms = wait.as_millis();
-        OwnCall::get(format!("/read/{}/{from}/{wait_ms}", topic.name()))
+        InternalRequest::get(format!("/read/{}/{from}/{wait_ms}", topic.name()))
     }
 
     fn decode_read(&self, _from: u64, body: &Bytes) -> Result<ReadBatch> {
@@ -125,11 +125,17 @@
         })
     }
 
-    fn append_call(&self, topic: Topic, key: &str, value: &[u8], only_at: Option<u64>) -> OwnCall {
+    fn append_request(
+        &self,
+        topic: Topic,
+        key: &str,
+        value: &[u8],
+        only_at: Option<u64>,
+    ) -> InternalRequest {
         // Keys name one part of the path.
         let key = key.replace('/', "-");
         let path = format!("/append/{}/{key}", topic.name());
-        OwnCall {
+        InternalRequest {
             method: Method::POST,
             path: only_at.map_or(path.clone(), |end| format!("{path}/{end}")),
             body: Bytes::copy_from_slice(value),
@@ -137,7 +143,7 @@
         }
     }
 
-    fn configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>> {
+    fn decode_configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>> {
         if key != "table" {
             return Ok(None);
         }
@@ -184,7 +190,7 @@
         }))
     }
 
-    fn evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord> {
+    fn decode_evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord> {
         let name = key
             .strip_prefix("evacuate/")
             .filter(|name| !name.is_empty())?;
@@ -196,7 +202,7 @@
         })
     }
 
-    fn rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord> {
+    fn decode_rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord> {
         let service = key.strip_prefix("rollout/")?;
         let order: Option<Value> = value.and_then(|value| serde_json::from_slice(value).ok());
         let order = order.map(|order| RolloutOrder {
@@ -214,7 +220,7 @@
         format!("rollout-{service}")
     }
 
-    fn rollout_status(&self, status: &RolloutStatus) -> Vec<u8> {
+    fn encode_rollout_status(&self, status: &RolloutStatus) -> Vec<u8> {
         let state = match status.state {
             RolloutState::Running => "running",
             RolloutState::Complete => "complete",
@@ -239,7 +245,7 @@
         })
     }
 
-    fn upstream(&self, key: &str, value: &[u8]) -> Result<Upstream> {
+    fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<Upstream> {
         let entry: Value = serde_json::from_slice(value)?;
         let id = UpstreamId::new(key);
         Ok(Upstream {
@@ -267,9 +273,9 @@
         })
     }
 
-    fn copy_call(&self, request_id: &str, to: SocketAddr, last: bool) -> OwnCall {
-        let body = json!({"run": request_id, "to": to, "last": last});
-        OwnCall {
+    fn copy_request(&self, request_id: &str, to: SocketAddr, is_final: bool) -> InternalRequest {
+        let body = json!({"run": request_id, "to": to, "last": is_final});
+        InternalRequest {
             method: Method::POST,
             path: "/copy".to_owned(),
             body: Bytes::from(body.to_string()),
@@ -277,9 +283,9 @@
         }
     }
 
-    fn decode_copy(&self, body: &[u8]) -> Result<CopyDone> {
+    fn decode_copy(&self, body: &[u8]) -> Result<MemoryCopy> {
         let done: Value = serde_json::from_slice(body)?;
-        Ok(CopyDone {
+        Ok(MemoryCopy {
             handle: done["handle"]
                 .as_str()
                 .ok_or_else(|| bad("handle"))?
@@ -292,8 +298,8 @@
         HeaderValue::from_str(&format!("{source}#{handle}")).unwrap()
     }
 
-    fn report_call(&self) -> OwnCall {
-        OwnCall::get("/report")
+    fn report_request(&self) -> InternalRequest {
+        InternalRequest::get("/report")
     }
 
     fn decode_report(&self, body: &[u8]) -> Result<EngineReport> {
