--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -284,7 +284,7 @@
             telemetry::count(Metric::BadDocumentsTotal);
         }
         let assembly = self.assembly.as_ref();
-        let line = self.shared.log().line(EventCode::PeerSuspected);
+        let line = self.shared.log().entry(EventCode::PeerSuspected);
         line.with("peer", self.source.peer.to_string())
             .with("reason", error.to_string())
             .with_some("version", assembly.map(|known| known.manifest().version))
--- a/src/gateway/decisions.rs
+++ b/src/gateway/decisions.rs
@@ -21,7 +21,7 @@
 use crate::id::Incarnation;
 
 /// Lines that wait to be written, at most; about 300 KB.
-const QUEUE_LINES: usize = 1_024;
+const QUEUE_ENTRIES_MAX: usize = 1_024;
 
 /// A handle on the process's log; clones share it.
 #[derive(Debug, Clone)]
@@ -41,18 +41,18 @@
 impl DecisionLog {
     /// A log that writes to standard output.
     pub fn start(host: HostId, incarnation: Incarnation, clock: SystemClock) -> Self {
-        DecisionLog::start_with(host, incarnation, clock, std::io::stdout())
+        DecisionLog::with_output(host, incarnation, clock, std::io::stdout())
     }
 
     /// A log that writes to `output`.
-    pub fn start_with(
+    pub fn with_output(
         host: HostId,
         incarnation: Incarnation,
         clock: SystemClock,
         output: impl Write + Send + 'static,
     ) -> Self {
-        let (queue, lines) = sync_channel(QUEUE_LINES);
-        std::thread::spawn(move || write_lines(&lines, output));
+        let (queue, lines) = sync_channel(QUEUE_ENTRIES_MAX);
+        std::thread::spawn(move || write_entries(&lines, output));
         DecisionLog {
             inner: Arc::new(Inner {
                 host,
@@ -65,7 +65,7 @@
     }
 
     /// Begins a line of this event.
-    pub fn line(&self, code: EventCode) -> Line {
+    pub fn entry(&self, code: EventCode) -> LogEntry {
         let mut fields = Map::new();
         let ms = self.inner.clock.now().as_us() as f64 / 1_000.0;
         fields.insert("ms".to_owned(), ms.into());
@@ -74,7 +74,7 @@
         fields.insert("incarnation".to_owned(), self.inner.incarnation.0.into());
         fields.insert("event".to_owned(), code.number().into());
         fields.insert("name".to_owned(), code.name().into());
-        Line {
+        LogEntry {
             log: self.clone(),
             fields,
         }
@@ -100,12 +100,12 @@
 /// A line that is being filled; dropping it writes it.
 #[derive(Debug)]
 #[must_use]
-pub struct Line {
+pub struct LogEntry {
     log: DecisionLog,
     fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogEntry {
     /// Adds a field.
     pub fn with(mut self, name: &str, value: impl Into<Value>) -> Self {
         self.fields.insert(name.to_owned(), value.into());
@@ -126,7 +126,7 @@
     }
 }
 
-fn write_lines(lines: &Receiver<String>, mut output: impl Write) {
+fn write_entries(lines: &Receiver<String>, mut output: impl Write) {
     while let Ok(line) = lines.recv() {
         let written = writeln!(output, "{line}").and_then(|()| output.flush());
         if written.is_err() {
--- a/src/gateway/decisions/tests.rs
+++ b/src/gateway/decisions/tests.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::DecisionLog;
-use super::QUEUE_LINES;
+use super::QUEUE_ENTRIES_MAX;
 use crate::clock::SystemClock;
 use crate::event::EventCode;
 use crate::id::HostId;
@@ -43,7 +43,7 @@
 }
 
 fn log(output: impl Write + Send + 'static) -> DecisionLog {
-    DecisionLog::start_with(
+    DecisionLog::with_output(
         HostId::new("host-1"),
         Incarnation(7),
         SystemClock::new(),
@@ -64,7 +64,7 @@
     let (sender, lines) = channel();
     let log = log(Output(sender));
 
-    let line = log.line(EventCode::RequestRefused);
+    let line = log.entry(EventCode::RequestRefused);
     line.with("request", "r-1")
         .with_some("offset", None::<u64>)
         .with_some("version", Some(4))
@@ -86,8 +86,8 @@
     let held = lock.lock().unwrap();
     let log = log(Stalled(lock.clone()));
 
-    for _ in 0..QUEUE_LINES + 100 {
-        log.line(EventCode::RequestRefused).write();
+    for _ in 0..QUEUE_ENTRIES_MAX + 100 {
+        log.entry(EventCode::RequestRefused).write();
     }
 
     // The writer holds one line at most.
--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -91,7 +91,7 @@
 
 /// Logs that a poll gave no readable report. Such an engine doesn't count as leaving.
 fn log_missing_report(shared: &Shared, engine: &Upstream, reason: &str) {
-    let line = shared.log().line(EventCode::RecordSkipped);
+    let line = shared.log().entry(EventCode::RecordSkipped);
     line.with("source", "an engine's report")
         .with("upstream", engine.id.as_str())
         .with("reason", reason)
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -430,7 +430,7 @@
     }
     telemetry::count(Metric::ForeignRecordsTotal);
     let shown = &value[..value.len().min(SHOWN_BYTES)];
-    let line = shared.log().line(EventCode::RecordSkipped);
+    let line = shared.log().entry(EventCode::RecordSkipped);
     line.with("source", "upstreams")
         .with("key", id.as_str())
         .with("position", at.to_string())
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -60,7 +60,7 @@
     let now = shared.now();
     let sender = shared.peers(|peers| peers.receive(now, from, &datagram));
     if sender.has_joined {
-        let entry = shared.log().line(EventCode::PeerJoined);
+        let entry = shared.log().entry(EventCode::PeerJoined);
         entry
             .with("peer", datagram.host.as_str())
             .with("address", from.to_string())
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -128,7 +128,7 @@
         actix_rt::spawn(lapse(shared.clone()));
         actix_rt::spawn(keep_up(telemetry));
         let settings = shared.settings();
-        let line = shared.log().line(EventCode::ProcessStarted);
+        let line = shared.log().entry(EventCode::ProcessStarted);
         line.with("callers", settings.caller_address.to_string())
             .with("data_centre", settings.data_centre.as_str())
             .write();
@@ -162,7 +162,7 @@
     /// Only the seeds may change while the host runs.
     fn read_settings_again(&self) {
         let settings = (self.reload)();
-        let line = self.shared.log().line(EventCode::SettingsReloaded);
+        let line = self.shared.log().entry(EventCode::SettingsReloaded);
         line.with("read", settings.is_some()).write();
         if let Some(settings) = settings {
             let now = self.shared.now();
@@ -180,7 +180,7 @@
         let gate = self.shared.gate().clone();
         let cut_at = began + self.shared.settings().grace.saturating_sub(EXIT_MARGIN);
         self.shared.begin_shutdown(cut_at);
-        let line = self.shared.log().line(EventCode::ShutdownBegan);
+        let line = self.shared.log().entry(EventCode::ShutdownBegan);
         line.with("in_flight", gate.in_flight()).write();
         let quiet_from = (began + BALANCER_NOTICES).min(cut_at);
         tokio::time::sleep_until(quiet_from).await;
@@ -192,7 +192,7 @@
             0 => (EventCode::ShutdownComplete, Ended::Drained),
             _ => (EventCode::ShutdownForced, Ended::Cut),
         };
-        let line = self.shared.log().line(code);
+        let line = self.shared.log().entry(code);
         line.with("in_flight", in_flight).write();
         self.server.stop(false).await;
         ended
--- a/src/gateway/joining.rs
+++ b/src/gateway/joining.rs
@@ -75,7 +75,7 @@
     let query_from = Instant::now() + SEED_DELAY;
     let state = probe_seeds(&seeds).await;
     shared.set_seed_state(state);
-    let entry = shared.log().line(EventCode::SeedsTried);
+    let entry = shared.log().entry(EventCode::SeedsTried);
     entry
         .with("seeds", seeds.len())
         .with("outcome", state.name())
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -270,7 +270,7 @@
             shared.list_catch_up(|catch_up| {
                 catch_up.has_failed(now, source.address, Fault::Unanswered);
             });
-            let line = shared.log().line(EventCode::PeerSuspected);
+            let line = shared.log().entry(EventCode::PeerSuspected);
             line.with("peer", source.address.to_string())
                 .with("reason", error.to_string())
                 .write();
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -156,7 +156,7 @@
             end,
         );
         let is_written = written.await?;
-        let line = shared.log().line(EventCode::RolloutTold);
+        let line = shared.log().entry(EventCode::RolloutTold);
         line.with("service", rollout.service.as_str())
             .with("to", rollout.to.as_str())
             .with("order", rollout.ordered_at.to_string())
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -29,7 +29,7 @@
 use crate::gateway::configuration::Configuration;
 use crate::gateway::configuration::Customer;
 use crate::gateway::configuration::EngineSpec;
-use crate::gateway::decisions::Line;
+use crate::gateway::decisions::LogEntry;
 use crate::gateway::directory::Upstream;
 use crate::gateway::forward;
 use crate::gateway::forward::CallerRequest;
@@ -159,9 +159,9 @@
     }
 
     /// A log line of this request.
-    pub fn log_entry(&self, shared: &Shared, code: EventCode) -> Line {
+    pub fn log_entry(&self, shared: &Shared, code: EventCode) -> LogEntry {
         let ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
-        let entry = shared.log().line(code);
+        let entry = shared.log().entry(code);
         entry
             .with("request", self.id.as_str())
             .with("fingerprint", self.fingerprint.to_string())
@@ -468,7 +468,7 @@
 
 /// Refuses a request that no route or customer is known of.
 fn reject(shared: &Shared, id: &str, request: &CallerRequest, refusal: &Refusal) -> HttpResponse {
-    let entry = shared.log().line(EventCode::RequestRefused);
+    let entry = shared.log().entry(EventCode::RequestRefused);
     entry
         .with("request", id)
         .with("target", request.target.as_str())
--- a/src/gateway/shared/activeconfig.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -126,7 +126,7 @@
     }
 
     fn log_skipped_document(&self, key: &str, source: &str, error: &Error) {
-        let line = self.log().line(EventCode::RecordSkipped);
+        let line = self.log().entry(EventCode::RecordSkipped);
         line.with("source", source)
             .with("key", key)
             .with("reason", error.to_string())
@@ -163,7 +163,7 @@
         }
         self.drop_assembly(version);
         let behind = self.track_newer_version();
-        let line = self.log().line(EventCode::ConfigReady);
+        let line = self.log().entry(EventCode::ConfigReady);
         line.with("version", version)
             .with("bytes", document.len())
             .with("source", source)
--- a/src/gateway/shared/changes.rs
+++ b/src/gateway/shared/changes.rs
@@ -64,7 +64,7 @@
         let cold_left_ms = upstream
             .map(|upstream| upstream.cold_left_ms)
             .filter(|ms| *ms > 0);
-        let line = self.log().line(code);
+        let line = self.log().entry(code);
         line.with("upstream", id.as_str())
             .with_some("born_ms", id.born_ms())
             .with_some("address", address.map(|address| address.to_string()))
@@ -83,7 +83,7 @@
         };
         let first: Vec<&str> = relayed.first.iter().map(InstanceId::as_str).collect();
         let position = self.directory(|directory| directory.position());
-        let mut line = self.log().line(EventCode::UpstreamsChanged);
+        let mut line = self.log().entry(EventCode::UpstreamsChanged);
         for (change, count) in &relayed.counts {
             line = line.with(change, *count);
         }
@@ -99,7 +99,7 @@
         if !self.directory(|directory| directory.observe_leaving(now, upstream)) {
             return;
         }
-        let line = self.log().line(EventCode::UpstreamLeaving);
+        let line = self.log().entry(EventCode::UpstreamLeaving);
         line.with("upstream", upstream.as_str())
             .with_some("born_ms", upstream.born_ms())
             .with("change", "witnessed")
--- a/src/gateway/shared/evacuations.rs
+++ b/src/gateway/shared/evacuations.rs
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn log_bad_record(&self, key: &str, reason: &str) {
-        let line = self.log().line(EventCode::RecordSkipped);
+        let line = self.log().entry(EventCode::RecordSkipped);
         line.with("source", "log")
             .with("key", key)
             .with("reason", reason)
@@ -86,7 +86,7 @@
                 let position = directory.evacuations().as_of();
                 (position, directory.listed_in(&change.data_centre).count())
             });
-            let line = self.log().line(code);
+            let line = self.log().entry(code);
             line.with("data_centre", change.data_centre.as_str())
                 .with("upstreams", upstreams)
                 .with("position", position.to_string())
--- a/src/gateway/shared/health.rs
+++ b/src/gateway/shared/health.rs
@@ -27,7 +27,7 @@
     pub fn record_unreachable(&self, upstream: &InstanceId, reason: &str) {
         let now = self.now();
         if lock(&self.0.reachability).record_failure(now, upstream) {
-            let line = self.log().line(EventCode::UpstreamLost);
+            let line = self.log().entry(EventCode::UpstreamLost);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
                 .write();
@@ -40,7 +40,7 @@
         let now = self.now();
         for upstream in upstreams {
             if lock(&self.0.reachability).receive_report(now, upstream) {
-                let line = self.log().line(EventCode::UpstreamLost);
+                let line = self.log().entry(EventCode::UpstreamLost);
                 line.with("upstream", upstream.as_str())
                     .with("source", peer.as_str())
                     .write();
@@ -79,7 +79,7 @@
     /// Records that a connection to an upstream was established.
     pub fn record_reached(&self, upstream: &InstanceId) {
         if lock(&self.0.reachability).record_success(self.now(), upstream) {
-            let line = self.log().line(EventCode::UpstreamBack);
+            let line = self.log().entry(EventCode::UpstreamBack);
             line.with("upstream", upstream.as_str())
                 .with("change", "reached")
                 .write();
@@ -125,7 +125,7 @@
             PartitionChange::Lost(service) => (EventCode::ServiceOutOfReach, service),
             PartitionChange::Restored(service) => (EventCode::ServiceInReach, service),
         };
-        let line = self.log().line(code);
+        let line = self.log().entry(code);
         line.with("service", service.as_str())
             .with_some(
                 "silence_ms",
@@ -154,7 +154,7 @@
         let pool = self.directory(|directory| directory.ready(service).len());
         let ejected_max = pool * EJECTED_PERCENT_MAX / 100;
         if self.ejector(|ejector| ejector.failed(now, upstream, ejected_max)) {
-            let line = self.log().line(EventCode::UpstreamEjected);
+            let line = self.log().entry(EventCode::UpstreamEjected);
             line.with("upstream", upstream.as_str())
                 .with("reason", reason)
                 .with("pool", pool)
--- a/src/gateway/shared/logera.rs
+++ b/src/gateway/shared/logera.rs
@@ -55,7 +55,7 @@
             return;
         }
         let is_restore = known != Era::default();
-        let line = self.log().line(EventCode::LogReturned);
+        let line = self.log().entry(EventCode::LogReturned);
         line.with("era", era.number())
             .with("known", known.number())
             .with("source", source)
@@ -76,7 +76,7 @@
         if lock(&self.0.bad_era_logged_in).replace(known) == Some(known) {
             return;
         }
-        let line = self.log().line(EventCode::RecordSkipped);
+        let line = self.log().entry(EventCode::RecordSkipped);
         line.with("source", "log")
             .with("reason", "the era is not a number above 0")
             .with("known", known.number())
--- a/src/gateway/shared/logreads.rs
+++ b/src/gateway/shared/logreads.rs
@@ -126,7 +126,7 @@
         if topic == Topic::Upstreams {
             self.directory(|directory| directory.mark_log_reachable(now));
         }
-        let line = self.log().line(EventCode::ConfigLogReachable);
+        let line = self.log().entry(EventCode::ConfigLogReachable);
         line.with("topic", topic.name())
             .with("away_ms", outage.as_millis() as u64)
             .with("version", self.config_version())
@@ -152,7 +152,7 @@
         if topic == Topic::Upstreams {
             self.directory(|directory| directory.mark_log_unreachable());
         }
-        let line = self.log().line(EventCode::ConfigLogUnreachable);
+        let line = self.log().entry(EventCode::ConfigLogUnreachable);
         line.with("topic", topic.name())
             .with("reason", reason)
             .with("waited_ms", waited.as_millis() as u64)
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -110,7 +110,7 @@
                 true => EventCode::RolloutOrdered,
                 false => EventCode::RolloutStep,
             };
-            let line = self.log().line(code);
+            let line = self.log().entry(code);
             line.with("service", change.service.as_str())
                 .with("to", change.to.as_str())
                 .with("order", change.ordered_at.to_string())
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -92,7 +92,7 @@
         let now = self.now();
         let before = self.suspects(|suspects| suspects.record_answer(now, fingerprint));
         if before.is_some_and(|before| before.crashes > 1) {
-            let line = self.log().line(EventCode::SuspectCleared);
+            let line = self.log().entry(EventCode::SuspectCleared);
             line.with("fingerprint", fingerprint.to_string())
                 .with("upstream", upstream.as_str())
                 .write();
@@ -147,7 +147,7 @@
             Verdict::HeldBack(left) => Some(left.as_millis() as u64),
             Verdict::Allowed | Verdict::Trial => None,
         };
-        let line = self.log().line(EventCode::RequestSuspected);
+        let line = self.log().entry(EventCode::RequestSuspected);
         line.with("fingerprint", fingerprint.to_string())
             .with("crashes", assessment.crashes)
             .with_some("held_back_ms", held_back_ms)
--- a/src/gateway/shared/suspension.rs
+++ b/src/gateway/shared/suspension.rs
@@ -35,7 +35,7 @@
         let now = self.now();
         lock(&self.0.log_reads).all_lost(now);
         telemetry::count(Metric::SuspensionsTotal);
-        let line = self.log().line(EventCode::HostSuspended);
+        let line = self.log().entry(EventCode::HostSuspended);
         line.with("suspended_ms", suspended.as_millis() as u64)
             .with("in_flight", self.gate().in_flight())
             .write();
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -200,7 +200,7 @@
         }
     }
     if unreadable > 0 {
-        let line = shared.log().line(EventCode::RecordSkipped);
+        let line = shared.log().entry(EventCode::RecordSkipped);
         line.with("source", Topic::Suspects.name())
             .with("records", unreadable)
             .write();
--- a/tests/gatewayworld/mod.rs
+++ b/tests/gatewayworld/mod.rs
@@ -177,7 +177,7 @@
         let thread = std::thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let clock = SystemClock::of_suspended(suspended_ms).aged(age);
-                let lines = DecisionLog::start_with(
+                let lines = DecisionLog::with_output(
                     settings.host.clone(),
                     Incarnation(1),
                     clock,
