--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -15,7 +15,7 @@
 use crate::gateway::attempts::Attempts;
 use crate::gateway::attempts::Delivery;
 use crate::gateway::connection::Connection;
-use crate::gateway::connection::Patience;
+use crate::gateway::connection::ConnectionProfile;
 use crate::gateway::directory::Upstream;
 use crate::gateway::exchange;
 use crate::gateway::exchange::OpenResponse;
@@ -197,7 +197,9 @@
     };
     let connection = match pooled {
         Some(connection) => connection,
-        None => match Connection::open(upstream.address, CONNECT_TIMEOUT, Patience::Short).await {
+        None => match Connection::open(upstream.address, CONNECT_TIMEOUT, ConnectionProfile::Call)
+            .await
+        {
             Ok(connection) => connection,
             Err(failure) => return Attempted::Unreachable(failure.reason().to_owned()),
         },
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -65,7 +65,7 @@
         return allocated / hosts;
     }
     let others = sender.peers.iter().map(HostId::as_str);
-    let ahead = rendezvous::count_before(sender.host.as_str(), others, cold.upstream.as_str());
+    let ahead = rendezvous::rank(sender.host.as_str(), others, cold.upstream.as_str());
     usize::from(ahead < allocated)
 }
 
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -21,62 +21,62 @@
 /// What is read ahead of a stream that its caller doesn't take.
 const STREAM_BUFFER_BYTES: usize = 8 * 1_024;
 /// The same of an answer that is read whole, bounded elsewhere.
-const ANSWER_BUFFER_BYTES: usize = 400 * 1_024;
+const RESPONSE_BUFFER_BYTES: usize = 400 * 1_024;
 /// A quiet connection is probed after this time, and then again and again.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a connection may be silent before it counts as cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum ConnectionProfile {
     /// A cut is noticed within two seconds, the shortest bound on a stale view: for calls and reads
     /// that can be made again.
-    Short,
+    Call,
     /// A cut of some seconds is waited out: for streams, which can't be made again and whose bytes
     /// arrive when it is over. Callers wait for the next event for 7 s.
-    Long,
+    Stream,
 }
 
-impl Patience {
+impl ConnectionProfile {
     /// After so long an unacknowledged write breaks the connection.
     const fn user_timeout(self) -> Duration {
         match self {
-            Patience::Short => Duration::from_millis(1_200),
-            Patience::Long => Duration::from_millis(8_000),
+            ConnectionProfile::Call => Duration::from_millis(1_200),
+            ConnectionProfile::Stream => Duration::from_millis(8_000),
         }
     }
 
     /// After so many unanswered probes the connection breaks.
     const fn probes(self) -> u32 {
         match self {
-            Patience::Short => 2,
-            Patience::Long => 7,
+            ConnectionProfile::Call => 2,
+            ConnectionProfile::Stream => 7,
         }
     }
 
     /// So much is read before it is asked for.
     const fn buffer_bytes(self) -> usize {
         match self {
-            Patience::Short => ANSWER_BUFFER_BYTES,
-            Patience::Long => STREAM_BUFFER_BYTES,
+            ConnectionProfile::Call => RESPONSE_BUFFER_BYTES,
+            ConnectionProfile::Stream => STREAM_BUFFER_BYTES,
         }
     }
 }
 
 /// Why an exchange has no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
+pub enum ConnectionError {
     /// Nothing of the request was written.
     NotWritten(String),
     /// It was or may have been written.
     Unknown(String),
 }
 
-impl Failure {
+impl ConnectionError {
     /// What happened.
     pub fn reason(&self) -> &str {
         match self {
-            Failure::NotWritten(reason) | Failure::Unknown(reason) => reason,
+            ConnectionError::NotWritten(reason) | ConnectionError::Unknown(reason) => reason,
         }
     }
 }
@@ -103,24 +103,25 @@
     ///
     /// # Errors
     ///
-    /// [`Failure::NotWritten`] if it isn't established within `timeout`.
+    /// [`ConnectionError::NotWritten`] if it isn't established within `timeout`.
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
-        patience: Patience,
-    ) -> Result<Self, Failure> {
+        profile: ConnectionProfile,
+    ) -> Result<Self, ConnectionError> {
         let connecting = TcpStream::connect(address);
         let stream = match tokio::time::timeout(timeout, connecting).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return Err(Failure::NotWritten(format!("connect: {error}"))),
-            Err(_) => return Err(Failure::NotWritten("connect: timeout".to_owned())),
+            Ok(Err(error)) => return Err(ConnectionError::NotWritten(format!("connect: {error}"))),
+            Err(_) => return Err(ConnectionError::NotWritten("connect: timeout".to_owned())),
         };
-        set_options(&stream, patience).map_err(|error| Failure::NotWritten(error.to_string()))?;
+        set_options(&stream, profile)
+            .map_err(|error| ConnectionError::NotWritten(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(patience.buffer_bytes())
+            .max_buf_size(profile.buffer_bytes())
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Failure::NotWritten(error.to_string()))?;
+            .map_err(|error| ConnectionError::NotWritten(error.to_string()))?;
         let driver = actix_rt::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {address}: {error}");
@@ -145,18 +146,18 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         if let Err(error) = self.sender.ready().await {
-            return Err(Failure::NotWritten(error.to_string()));
+            return Err(ConnectionError::NotWritten(error.to_string()));
         }
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
-                let reason = describe(error.error());
+                let reason = error_with_source(error.error());
                 match unsent {
-                    true => Err(Failure::NotWritten(reason)),
-                    false => Err(Failure::Unknown(reason)),
+                    true => Err(ConnectionError::NotWritten(reason)),
+                    false => Err(ConnectionError::Unknown(reason)),
                 }
             }
         }
@@ -164,20 +165,20 @@
 }
 
 /// hyper's errors hide their cause in their source.
-pub(crate) fn describe(error: &hyper::Error) -> String {
+pub(crate) fn error_with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
     }
 }
 
-fn set_options(stream: &TcpStream, patience: Patience) -> std::io::Result<()> {
+fn set_options(stream: &TcpStream, profile: ConnectionProfile) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(patience.user_timeout()))?;
+    socket.set_tcp_user_timeout(Some(profile.user_timeout()))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(patience.probes());
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(profile.probes());
     socket.set_tcp_keepalive(&probes)
 }
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -28,7 +28,7 @@
 pub struct EventSplitter {
     partial: BytesMut,
     last_id: Option<u64>,
-    passed: u64,
+    event_count: u64,
 }
 
 impl EventSplitter {
@@ -38,8 +38,8 @@
     }
 
     /// Events passed on.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn event_count(&self) -> u64 {
+        self.event_count
     }
 
     /// Whether bytes of an unfinished event are held.
@@ -48,7 +48,7 @@
     }
 
     /// Forgets the unfinished event: the stream goes on from another source.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
@@ -83,7 +83,7 @@
             _ => {}
         }
         self.last_id = Some(id);
-        self.passed += 1;
+        self.event_count += 1;
         Ok(true)
     }
 }
--- a/src/gateway/events/tests.rs
+++ b/src/gateway/events/tests.rs
@@ -40,7 +40,7 @@
     splitter.push(events(1..=5).as_bytes()).unwrap();
     splitter.push(b"id: 6\nda").unwrap();
 
-    splitter.restart();
+    splitter.discard_partial();
     let passed = splitter.push(events(4..=7).as_bytes()).unwrap();
 
     assert_eq!(passed, events(6..=7).as_bytes());
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -9,7 +9,7 @@
 
 use crate::gateway::call::WholeAnswer;
 use crate::gateway::connection::Connection;
-use crate::gateway::connection::Failure;
+use crate::gateway::connection::ConnectionError;
 use crate::gateway::directory::Upstream;
 use crate::gateway::forward;
 use crate::gateway::forward::AttemptHeaders;
@@ -67,8 +67,8 @@
     let sent_at = shared.now();
     let response = match connection.send(request).await {
         Ok(response) => response,
-        Err(Failure::NotWritten(reason)) => return Err(SendError::NotRun(reason)),
-        Err(Failure::Unknown(reason)) => {
+        Err(ConnectionError::NotWritten(reason)) => return Err(SendError::NotRun(reason)),
+        Err(ConnectionError::Unknown(reason)) => {
             shared.record_crash(admitted.fingerprint, upstream);
             return Err(SendError::Unknown(reason));
         }
--- a/src/gateway/host.rs
+++ b/src/gateway/host.rs
@@ -317,7 +317,7 @@
 async fn close_idle(front: WorkerState) {
     loop {
         tick(LAPSE_INTERVAL).await;
-        front.pool.borrow_mut().close_idle();
+        front.pool.borrow_mut().close_expired();
     }
 }
 
--- a/src/gateway/ownclient.rs
+++ b/src/gateway/ownclient.rs
@@ -19,7 +19,7 @@
 use crate::error::Error;
 use crate::error::Result;
 use crate::gateway::connection::Connection;
-use crate::gateway::connection::Patience;
+use crate::gateway::connection::ConnectionProfile;
 use crate::gateway::protocol::InternalRequest;
 
 /// Each connection attempt.
@@ -154,7 +154,7 @@
 ) -> std::result::Result<(Connection, Response<Incoming>), String> {
     let mut connection = match connection {
         Some(connection) => connection,
-        None => Connection::open(address, CONNECT_TIMEOUT, Patience::Short)
+        None => Connection::open(address, CONNECT_TIMEOUT, ConnectionProfile::Call)
             .await
             .map_err(|failure| failure.reason().to_owned())?,
     };
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -375,10 +375,10 @@
     pub(crate) fn rank(&self, now: Time, host: &HostId, task: &str) -> usize {
         if self.is_small_fleet(now) {
             let others = self.live_reports(now).map(|report| report.host.as_str());
-            return rendezvous::count_before(host.as_str(), others, task);
+            return rendezvous::rank(host.as_str(), others, task);
         }
         let data_centres = self.reporting_data_centres(now).map(DataCentre::as_str);
-        rendezvous::count_before(self.data_centre.as_str(), data_centres, task)
+        rendezvous::rank(self.data_centre.as_str(), data_centres, task)
     }
 
     /// Number of other live hosts of this data centre.
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -10,22 +10,22 @@
 
 /// An idle connection is closed after this time. Upstreams announce timeouts in whole seconds, and
 /// some drop idle connections sooner without a word.
-const IDLE_MAX: Duration = Duration::from_millis(900);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Idle connections kept to one upstream.
 const IDLE_CONNECTIONS_MAX: usize = 4;
 
 /// Idle connections by the instance that they lead to.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: HashMap<InstanceId, Vec<(Connection, Instant)>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection that still looks alive.
     pub fn take(&mut self, upstream: &InstanceId) -> Option<Connection> {
         let connections = self.idle.get_mut(upstream)?;
         while let Some((connection, since)) = connections.pop() {
-            if since.elapsed() < IDLE_MAX && connection.is_usable() {
+            if since.elapsed() < IDLE_TIMEOUT && connection.is_usable() {
                 return Some(connection);
             }
         }
@@ -41,10 +41,11 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn close_idle(&mut self) {
+    pub fn close_expired(&mut self) {
         for connections in self.idle.values_mut() {
-            connections
-                .retain(|(connection, since)| since.elapsed() < IDLE_MAX && connection.is_usable());
+            connections.retain(|(connection, since)| {
+                since.elapsed() < IDLE_TIMEOUT && connection.is_usable()
+            });
         }
         self.idle.retain(|_, connections| !connections.is_empty());
     }
--- a/src/gateway/rendezvous.rs
+++ b/src/gateway/rendezvous.rs
@@ -4,11 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How many of `others`, among whom `own` may be itself, come before `own` in doing what `what` names.
-pub(crate) fn count_before<'a>(
-    own: &str,
-    others: impl Iterator<Item = &'a str>,
-    what: &str,
-) -> usize {
+pub(crate) fn rank<'a>(own: &str, others: impl Iterator<Item = &'a str>, what: &str) -> usize {
     let own = weight(own, what);
     others.filter(|other| weight(other, what) > own).count()
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -40,7 +40,7 @@
 use crate::gateway::placement;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
-use crate::gateway::pool::Pool;
+use crate::gateway::pool::ConnectionPool;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::protocol::HeaderNames;
 use crate::gateway::refuse;
@@ -100,7 +100,7 @@
     /// The host's state.
     pub shared: Shared,
     /// Idle connections to upstreams.
-    pub pool: Rc<RefCell<Pool>>,
+    pub pool: Rc<RefCell<ConnectionPool>>,
 }
 
 impl WorkerState {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -19,7 +19,7 @@
 use crate::gateway::call::CONNECT_TIMEOUT;
 use crate::gateway::call::WholeAnswer;
 use crate::gateway::connection::Connection;
-use crate::gateway::connection::Patience;
+use crate::gateway::connection::ConnectionProfile;
 use crate::gateway::directory::Upstream;
 use crate::gateway::exchange;
 use crate::gateway::exchange::OpenResponse;
@@ -325,7 +325,7 @@
         continuation,
     } = dispatch;
     let sent_at = Instant::now();
-    let opening = Connection::open(upstream.address, CONNECT_TIMEOUT, Patience::Long);
+    let opening = Connection::open(upstream.address, CONNECT_TIMEOUT, ConnectionProfile::Stream);
     let connection = match opening.await {
         Ok(connection) => connection,
         Err(failure) => {
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -361,7 +361,7 @@
                 self.moving = MoveState::None;
                 self.running = *running;
                 self.stream_error = None;
-                self.splitter.restart();
+                self.splitter.discard_partial();
                 self.leaving_since = None;
                 telemetry::count_of_service(Metric::StreamMovesTotal, &service);
                 self.log_move("continued", Some(to));
--- a/src/gateway/stream/relay.rs
+++ b/src/gateway/stream/relay.rs
@@ -181,7 +181,7 @@
     pub(super) fn produced_tokens(&self) -> u32 {
         let engine = self.admitted.engine.as_ref();
         let of_event = engine.map_or(1, |engine| engine.tokens_per_event);
-        let produced = self.splitter.passed() * u64::from(of_event);
+        let produced = self.splitter.event_count() * u64::from(of_event);
         u32::try_from(produced).unwrap_or(u32::MAX)
     }
 
@@ -190,7 +190,7 @@
         let Some(first_at) = self.first_at else {
             return;
         };
-        if !self.pace_recorded && self.splitter.passed() >= PACE_EVENTS {
+        if !self.pace_recorded && self.splitter.event_count() >= PACE_EVENTS {
             self.pace_recorded = true;
             let time = now - first_at;
             self.record_outcome(Measure::Pace, Outcome::Took(time));
@@ -256,7 +256,7 @@
             .log_entry(&self.shared, EventCode::RequestComplete);
         entry
             .with("upstream", self.running.upstream.id.as_str())
-            .with("events", self.splitter.passed())
+            .with("events", self.splitter.event_count())
             .with_some("first_ms", self.first_ms)
             .with("gap_max_ms", self.gap_max.as_millis() as u64)
             .with("moves", self.moves)
@@ -276,7 +276,7 @@
         entry
             .with("upstream", id.as_str())
             .with("reason", reason)
-            .with("events", self.splitter.passed())
+            .with("events", self.splitter.event_count())
             .with("moves", self.moves)
             .write();
         Some(Err(StreamAborted(reason.to_owned())))
@@ -289,7 +289,7 @@
             let entry = self.admitted.log_entry(&self.shared, EventCode::CallerLeft);
             entry
                 .with("upstream", self.running.upstream.id.as_str())
-                .with("events", self.splitter.passed())
+                .with("events", self.splitter.event_count())
                 .write();
         }
     }
--- a/src/gateway/ticks.rs
+++ b/src/gateway/ticks.rs
@@ -10,17 +10,17 @@
 
 /// Sleeps until the next multiple of `interval`.
 pub(crate) async fn tick(interval: Duration) {
-    tokio::time::sleep_until(next(Instant::now(), interval)).await;
+    tokio::time::sleep_until(next_tick(Instant::now(), interval)).await;
 }
 
-fn next(now: Instant, interval: Duration) -> Instant {
+fn next_tick(now: Instant, interval: Duration) -> Instant {
     static STARTED: OnceLock<Instant> = OnceLock::new();
     let started = *STARTED.get_or_init(|| now);
-    after(started, now, interval)
+    first_tick_after(started, now, interval)
 }
 
 /// The first multiple of `interval` since `started` that is after `now`.
-fn after(started: Instant, now: Instant, interval: Duration) -> Instant {
+fn first_tick_after(started: Instant, now: Instant, interval: Duration) -> Instant {
     let elapsed = now.saturating_duration_since(started);
     let over_ns = elapsed.as_nanos() % interval.as_nanos().max(1);
     let over = Duration::from_nanos(u64::try_from(over_ns).unwrap_or(0));
--- a/src/gateway/ticks/tests.rs
+++ b/src/gateway/ticks/tests.rs
@@ -3,7 +3,7 @@
 
 use tokio::time::Instant;
 
-use super::after;
+use super::first_tick_after;
 
 // A dozen tasks woke a host forty times a second, each by itself.
 #[test]
@@ -14,7 +14,7 @@
     for (index, interval) in intervals.into_iter().enumerate() {
         let mut now = started + Duration::from_millis(7 * index as u64);
         while now < started + Duration::from_secs(1) {
-            now = after(started, now, interval);
+            now = first_tick_after(started, now, interval);
             wakes.insert(now);
         }
     }
