--- a/src/gateway/decisions.rs
+++ b/src/gateway/decisions.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output: one for each decision that touches a request or
-//! changes a belief.
+//! The decision log: one JSON object per line on standard output for each decision that affects a request
+//! or changes the host's state.
 //!
-//! A thread of its own writes them, so that a reader that stalls stalls nobody else. The queue is
-//! bounded; lines that find it full are counted and the count is told with the next line.
+//! A separate thread writes the entries, so that a stalled reader of the output blocks no other thread. The
+//! queue to it is bounded. Entries that don't fit are dropped, and the next entries carry their number.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use crate::id::HostId;
 use crate::id::Incarnation;
 
-/// Lines that wait to be written, at most; about 300 KB.
+/// Maximum number of entries waiting to be written; about 300 KB.
 const QUEUE_ENTRIES_MAX: usize = 1_024;
 
-/// A handle on the process's log; clones share it.
+/// A handle to the decision log of the process. Clones share the log.
 #[derive(Debug, Clone)]
 pub struct DecisionLog {
     inner: Arc<Inner>,
@@ -34,37 +34,37 @@
     host: HostId,
     incarnation: Incarnation,
     clock: SystemClock,
-    queue: SyncSender<String>,
+    entries: SyncSender<String>,
     dropped: AtomicU64,
 }
 
 impl DecisionLog {
-    /// A log that writes to standard output.
+    /// Starts a log that writes to standard output.
     pub fn start(host: HostId, incarnation: Incarnation, clock: SystemClock) -> Self {
         DecisionLog::with_output(host, incarnation, clock, std::io::stdout())
     }
 
-    /// A log that writes to `output`.
+    /// Starts a log that writes to `output`.
     pub fn with_output(
         host: HostId,
         incarnation: Incarnation,
         clock: SystemClock,
         output: impl Write + Send + 'static,
     ) -> Self {
-        let (queue, lines) = sync_channel(QUEUE_ENTRIES_MAX);
-        std::thread::spawn(move || write_entries(&lines, output));
+        let (entries, receiver) = sync_channel(QUEUE_ENTRIES_MAX);
+        std::thread::spawn(move || write_entries(&receiver, output));
         DecisionLog {
             inner: Arc::new(Inner {
                 host,
                 incarnation,
                 clock,
-                queue,
+                entries,
                 dropped: AtomicU64::new(0),
             }),
         }
     }
 
-    /// Begins a line of this event.
+    /// Begins an entry for the event `code`, with the time, the host and the event's number and name.
     pub fn entry(&self, code: EventCode) -> LogEntry {
         let mut fields = Map::new();
         let ms = self.inner.clock.now().as_us() as f64 / 1_000.0;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Lines dropped so far.
+    /// Number of entries dropped since the start.
     pub fn dropped(&self) -> u64 {
         self.inner.dropped.load(Ordering::Relaxed)
     }
@@ -90,14 +90,14 @@
         if dropped > 0 {
             fields.insert("lines_dropped".to_owned(), dropped.into());
         }
-        let line = Value::Object(fields).to_string();
-        if self.inner.queue.try_send(line).is_err() {
+        let entry = Value::Object(fields).to_string();
+        if self.inner.entries.try_send(entry).is_err() {
             self.inner.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// A line that is being filled; dropping it writes it.
+/// A log entry under construction. [`LogEntry::write`] writes it; dropping it discards it.
 #[derive(Debug)]
 #[must_use]
 pub struct LogEntry {
@@ -112,7 +112,7 @@
         self
     }
 
-    /// Adds a field if there is a value.
+    /// Adds a field if `value` is `Some`.
     pub fn with_some(self, name: &str, value: Option<impl Into<Value>>) -> Self {
         match value {
             Some(value) => self.with(name, value),
@@ -120,17 +120,18 @@
         }
     }
 
-    /// Writes the line.
+    /// Queues the entry to be written.
     pub fn write(self) {
         self.log.write(self.fields);
     }
 }
 
-fn write_entries(lines: &Receiver<String>, mut output: impl Write) {
-    while let Ok(line) = lines.recv() {
-        let written = writeln!(output, "{line}").and_then(|()| output.flush());
+/// Writes entries until the log is dropped or the output fails.
+fn write_entries(entries: &Receiver<String>, mut output: impl Write) {
+    while let Ok(entry) = entries.recv() {
+        let written = writeln!(output, "{entry}").and_then(|()| output.flush());
         if written.is_err() {
-            // Nobody reads the output; there is no other place to say so.
+            // The output is closed, and there is no other place to report that.
             return;
         }
     }
--- a/src/gateway/decisions/tests.rs
+++ b/src/gateway/decisions/tests.rs
@@ -14,10 +14,10 @@
 use crate::id::HostId;
 use crate::id::Incarnation;
 
-/// Hands each line to the test.
-struct Output(Sender<Vec<u8>>);
+/// Sends the written bytes to the test.
+struct ChannelOutput(Sender<Vec<u8>>);
 
-impl Write for Output {
+impl Write for ChannelOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.send(bytes.to_vec()).map_err(std::io::Error::other)?;
         Ok(bytes.len())
@@ -28,10 +28,10 @@
     }
 }
 
-/// An output that nobody reads: it blocks until the lock is free.
-struct Stalled(Arc<Mutex<()>>);
+/// An output whose reader has stalled: writes block until the lock is free.
+struct StalledOutput(Arc<Mutex<()>>);
 
-impl Write for Stalled {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _held = self.0.lock();
         Ok(bytes.len())
@@ -51,46 +51,46 @@
     )
 }
 
-fn next_line(lines: &Receiver<Vec<u8>>) -> Value {
+fn next_entry(output: &Receiver<Vec<u8>>) -> Value {
     let mut text = Vec::new();
     while !text.ends_with(b"\n") {
-        text.extend(lines.recv().unwrap());
+        text.extend(output.recv().unwrap());
     }
     serde_json::from_slice(&text).unwrap()
 }
 
 #[test]
-fn a_line_tells_who_when_what_and_why() {
-    let (sender, lines) = channel();
-    let log = log(Output(sender));
+fn an_entry_holds_the_host_the_event_and_the_given_fields() {
+    let (sender, output) = channel();
+    let log = log(ChannelOutput(sender));
 
-    let line = log.entry(EventCode::RequestRefused);
-    line.with("request", "r-1")
+    log.entry(EventCode::RequestRefused)
+        .with("request", "r-1")
         .with_some("offset", None::<u64>)
         .with_some("version", Some(4))
         .write();
-    let line = next_line(&lines);
-
-    assert_eq!(line["event"], 201);
-    assert_eq!(line["name"], "RequestRefused");
-    assert_eq!(line["host"], "host-1");
-    assert_eq!(line["incarnation"], 7);
-    assert_eq!(line["request"], "r-1");
-    assert_eq!(line["version"], 4);
-    assert!(line.get("offset").is_none());
+    let entry = next_entry(&output);
+
+    assert_eq!(entry["event"], 201);
+    assert_eq!(entry["name"], "RequestRefused");
+    assert_eq!(entry["host"], "host-1");
+    assert_eq!(entry["incarnation"], 7);
+    assert_eq!(entry["request"], "r-1");
+    assert_eq!(entry["version"], 4);
+    assert!(entry.get("offset").is_none());
 }
 
 #[test]
-fn an_output_that_stalls_blocks_nobody_and_what_is_lost_is_counted() {
+fn a_stalled_output_blocks_no_caller_and_dropped_entries_are_counted() {
     let lock = Arc::new(Mutex::new(()));
     let held = lock.lock().unwrap();
-    let log = log(Stalled(lock.clone()));
+    let log = log(StalledOutput(lock.clone()));
 
     for _ in 0..QUEUE_ENTRIES_MAX + 100 {
         log.entry(EventCode::RequestRefused).write();
     }
 
-    // The writer holds one line at most.
+    // The writer thread holds one entry at most.
     assert!(log.dropped() >= 99, "{}", log.dropped());
     drop(held);
 }
