--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -1,5 +1,5 @@
-//! What differs between platforms: names, formats and paths. An adapter implements
-//! [`Protocol`]; it makes no calls and decides nothing.
+//! The interface to a platform's names, formats and paths. An adapter for a platform implements [`Protocol`];
+//! it builds requests and decodes responses, but does no I/O and makes no decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,23 +20,23 @@
 use crate::id::ServiceId;
 use crate::id::VersionId;
 
-/// The keyed topics of the log that the gateway uses.
+/// The keyed topics of the platform's log that the gateway uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// What operators publish.
+    /// Configurations, evacuations and roll-outs that operators publish.
     Operator,
-    /// Upstreams list themselves.
+    /// Upstreams, each listed by itself.
     Upstreams,
-    /// Entry hosts list themselves.
+    /// Entry hosts, each listed by itself.
     Hosts,
-    /// Requests under which upstreams crashed.
+    /// Requests during which upstreams crashed.
     Suspects,
-    /// What operators are told.
+    /// The state of roll-outs, reported to operators.
     Status,
 }
 
 impl Topic {
-    /// The topic's name in logs.
+    /// Returns the topic's name in logs.
     pub const fn name(self) -> &'static str {
         match self {
             Topic::Operator => "operator",
@@ -51,49 +51,49 @@
 /// A record of a keyed topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// What it is about.
+    /// The record's key.
     pub key: String,
-    /// None where the key was removed.
+    /// The value, or `None` if the key was removed.
     pub value: Option<Bytes>,
-    /// Its position.
+    /// Offset in the topic.
     pub offset: u64,
 }
 
-/// A page of the newest record of each key.
+/// One page of the newest records of a topic, one per key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewestPage {
-    /// The records, by key.
+    /// The records, ordered by key.
     pub records: Vec<Record>,
-    /// Whether there are more keys after the last one.
+    /// Whether more keys follow the last one of this page.
     pub has_more: bool,
-    /// The offset after the log's last record.
+    /// The offset after the last record of the topic.
     pub end: u64,
 }
 
-/// Records read in order.
+/// Consecutive records of a topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadBatch {
-    /// The records; their offsets rise by one from where the read began.
+    /// The records. Offsets increase by one, starting at the offset the read asked for.
     pub records: Vec<Record>,
-    /// The offset to read from next.
+    /// Offset of the next read.
     pub next: u64,
 }
 
-/// A call that the gateway makes itself.
+/// A request that the gateway sends on its own behalf, to the log, a peer or an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InternalRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// Its body.
+    /// Request body; empty if there is none.
     pub body: Bytes,
-    /// The body's type, if it has one.
+    /// Value of the `Content-Type` header, if it is set.
     pub content_type: Option<&'static str>,
 }
 
 impl InternalRequest {
-    /// A call without a body.
+    /// Creates a `GET` request without a body.
     pub fn get(path: impl Into<String>) -> Self {
         InternalRequest {
             method: Method::GET,
@@ -104,111 +104,111 @@
     }
 }
 
-/// The size of a generation as its caller tells it.
+/// Size of a generation as stated by the client.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens it may produce.
+    /// Maximum number of output tokens.
     pub output_tokens_max: u32,
-    /// The caller's own estimate of what it will produce.
+    /// The client's estimate of the number of output tokens.
     pub output_tokens_hint: Option<u32>,
 }
 
-/// What came of copying a generation's memory.
+/// A copy of a generation's memory at another engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemoryCopy {
-    /// Names the copy.
+    /// Identifies the copy.
     pub handle: String,
-    /// Events produced so far.
+    /// Number of events that the generation has produced so far.
     pub events: u64,
 }
 
-/// How far a roll-out is, as operators are told.
+/// State of a roll-out as reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It has begun.
+    /// The roll-out has started.
     Running,
-    /// All traffic goes to the new version; the old one may be stopped.
+    /// All traffic goes to the new version, and the old one may be stopped.
     Complete,
-    /// The new version gets no traffic any more.
+    /// The new version no longer receives traffic.
     Reverted,
 }
 
-/// What operators are told of a roll-out.
+/// Status of a roll-out as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// The version that is rolled out.
+    /// The version being rolled out.
     pub to: VersionId,
-    /// How far it is.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// The position of the order's record; none in what others wrote.
+    /// Position of the record that ordered the roll-out; `None` in a status from another writer.
     pub ordered_at: Option<Position>,
 }
 
-/// What an engine tells of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// It is leaving and takes no new work.
+    /// Whether the engine is leaving and accepts no new work.
     pub leaving: bool,
-    /// When the engine that tells started, in Unix milliseconds of its own clock.
+    /// Start time of the reporting engine, in Unix milliseconds of its own clock.
     pub born_ms: Option<u64>,
 }
 
-/// Names of the headers that the gateway reads or sets.
+/// Names of the HTTP headers that the gateway reads or sets.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// The request's id, chosen by the caller and echoed by the upstream.
+    /// Request id, chosen by the client and echoed by the upstream.
     pub request_id: HeaderName,
-    /// Time left, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The customer's name, for the upstream.
+    /// Name of the customer, sent to the upstream.
     pub customer: HeaderName,
-    /// The instance that a request is meant for.
+    /// The instance that the request is addressed to.
     pub expected_instance: HeaderName,
-    /// In an answer: the upstream did not run the request.
+    /// In a response: the upstream did not run the request.
     pub not_run: HeaderName,
-    /// The engine's priority for the request; 0 is first.
+    /// Priority of the request at the engine; 0 is the highest.
     pub priority: HeaderName,
-    /// Continue from the copy that the value names.
+    /// The copy of the generation's memory to continue from.
     pub continue_from: HeaderName,
-    /// The last event that the caller has.
+    /// Id of the last event that the client received.
     pub last_event: HeaderName,
-    /// In all answers of the log: the number of its history.
+    /// In every response of the log: its era. A new era begins when the log is restored from an older copy.
     pub log_era: HeaderName,
-    /// Headers of callers that are the system's to set; never passed on.
+    /// Headers that only the gateway sets; never forwarded from clients.
     pub reserved: Vec<HeaderName>,
     /// The scheme before a key in the `Authorization` header.
     pub key_scheme: &'static str,
 }
 
-/// One platform's names, formats and paths.
+/// The names, formats and paths of one platform.
 pub trait Protocol: std::fmt::Debug + Send + Sync {
-    /// Names of headers.
+    /// Returns the header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// Reads the newest record of each key after the key `after`.
+    /// Builds the request for the newest record of each key, starting after the key `after`.
     fn newest_request(&self, topic: Topic, after: Option<&str>) -> InternalRequest;
 
-    /// The answer to [`Protocol::newest_request`].
+    /// Decodes the response to [`Protocol::newest_request`].
     ///
     /// # Errors
     ///
-    /// If it isn't one.
+    /// If `body` is not a valid response.
     fn decode_newest(&self, body: &[u8]) -> Result<NewestPage>;
 
-    /// Reads records from `from` on, waiting up to `wait` for the first.
+    /// Builds the request for the records from offset `from`, waiting up to `wait` for the first.
     fn read_request(&self, topic: Topic, from: u64, wait: Duration) -> InternalRequest;
 
-    /// The answer to [`Protocol::read_request`] from `from` on.
+    /// Decodes the response to [`Protocol::read_request`] for the offset `from`.
     ///
     /// # Errors
     ///
-    /// If it isn't one.
+    /// If `body` is not a valid response.
     fn decode_read(&self, from: u64, body: &Bytes) -> Result<ReadBatch>;
 
-    /// Appends one record to a keyed topic of the system's own; with `only_at` only if the topic ends at that offset.
-    /// One that ends elsewhere answers with status 412.
+    /// Builds the request that appends one record to a topic written by the gateway. With `only_at`, the log
+    /// appends it only if the topic ends at that offset, and otherwise responds with status 412.
     fn append_request(
         &self,
         topic: Topic,
@@ -217,68 +217,68 @@
         only_at: Option<u64>,
     ) -> InternalRequest;
 
-    /// The configuration in a record of [`Topic::Operator`], or none where the record is something
-    /// else.
+    /// Decodes the configuration in a record of [`Topic::Operator`]. Returns `None` for other records.
     ///
     /// # Errors
     ///
-    /// If it is a configuration but can't be read.
+    /// If the record is a configuration but can't be decoded.
     fn decode_configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>>;
 
-    /// What a record of [`Topic::Operator`] says of a data centre's evacuation, or none where it is about something
-    /// else. One without a value takes the data centre back.
+    /// Decodes a data centre's evacuation in a record of [`Topic::Operator`]. Returns `None` for other records.
+    /// A record without a value ends the evacuation.
     fn decode_evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord>;
 
-    /// What a record of [`Topic::Operator`] says of a service's roll-out, or none where it is about something else.
+    /// Decodes a service's roll-out in a record of [`Topic::Operator`]. Returns `None` for other records.
     fn decode_rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord>;
 
-    /// The key of [`Topic::Status`] under which operators find how far a service's roll-out is.
+    /// Returns the key in [`Topic::Status`] of a service's roll-out status.
     fn rollout_status_key(&self, service: &ServiceId) -> String;
 
-    /// What stands there.
+    /// Encodes the value stored under [`Protocol::rollout_status_key`].
     fn encode_rollout_status(&self, status: &RolloutStatus) -> Vec<u8>;
 
-    /// The answer to [`Protocol::encode_rollout_status`].
+    /// Decodes a value encoded by [`Protocol::encode_rollout_status`] or written by another program.
     ///
     /// # Errors
     ///
-    /// If it isn't one.
+    /// If `value` is not a roll-out status.
     fn decode_rollout_status(&self, value: &[u8]) -> Result<RolloutStatus>;
 
-    /// The upstream in a record of [`Topic::Upstreams`].
+    /// Decodes the upstream in a record of [`Topic::Upstreams`].
     ///
     /// # Errors
     ///
-    /// Why the record names no upstream: another writer's, or one that can't be read.
+    /// If the record does not describe an upstream: it comes from another writer or can't be decoded.
     fn decode_upstream(&self, key: &str, value: &[u8]) -> Result<Upstream>;
 
-    /// What an upstream says of its load in the headers of an answer.
+    /// Reads an upstream's load from the headers of a response, if they report it.
     fn reported_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// The size of the generation that a request asks for.
+    /// Reads the size of the requested generation from the request headers, if they state it.
     fn generation_size(&self, headers: &HeaderMap) -> Option<GenerationSize>;
 
-    /// Copies the memory of the run `request_id` to the engine at `to`; with `last` the run stops
-    /// first.
+    /// Builds the request that copies the memory of the run `request_id` to the engine at `to`. With `is_final`,
+    /// the run stops before the copy.
     fn copy_request(&self, request_id: &str, to: SocketAddr, is_final: bool) -> InternalRequest;
 
-    /// The answer to [`Protocol::copy_request`].
+    /// Decodes the response to [`Protocol::copy_request`].
     ///
     /// # Errors
     ///
-    /// If it isn't one.
+    /// If `body` is not a valid response.
     fn decode_copy(&self, body: &[u8]) -> Result<MemoryCopy>;
 
-    /// The value of `continue_from` for the copy `handle` whose source listens at `source`.
+    /// Returns the value of the [`HeaderNames::continue_from`] header for the copy `handle`, whose source
+    /// engine listens at `source`.
     fn continue_value(&self, source: SocketAddr, handle: &str) -> HeaderValue;
 
-    /// Asks an engine about itself.
+    /// Builds the request for an engine's report about itself.
     fn report_request(&self) -> InternalRequest;
 
-    /// The answer to [`Protocol::report_request`].
+    /// Decodes the response to [`Protocol::report_request`].
     ///
     /// # Errors
     ///
-    /// If it isn't one.
+    /// If `body` is not a valid response.
     fn decode_report(&self, body: &[u8]) -> Result<EngineReport>;
 }
