--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,29 +1,29 @@
-//! Splits a stream of server-sent events into whole events and numbers them.
+//! Splits a stream of server-sent events into complete events and checks their sequence numbers.
 //!
-//! Only whole events are passed on, so that a stream which breaks can go on elsewhere at an event's
+//! Only complete events are forwarded, so that a broken stream can be resumed from another upstream at an event
 //! boundary.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// Why a stream of events can't go on.
+/// The reason why a stream of events can't be continued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SequenceFault {
-    /// Events between the last one and this one are missing.
+    /// One or more events are missing.
     Gap {
-        /// The last one passed on.
+        /// Id of the last event forwarded.
         last: u64,
-        /// The one that came.
+        /// Id of the event received.
         got: u64,
     },
-    /// One event is larger than any upstream sends.
+    /// An unfinished event exceeds the size limit, which no upstream's events reach.
     TooLong,
 }
 
-/// Bytes of one event at most.
+/// Maximum size of an unfinished event.
 const EVENT_BYTES_MAX: usize = 1 << 20;
 
-/// Collects whole events; drops those that were passed on before.
+/// Collects complete events and drops those that were already forwarded.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -32,47 +32,47 @@
 }
 
 impl EventSplitter {
-    /// The id of the last event passed on.
+    /// Id of the last event forwarded.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Events passed on.
+    /// Number of events forwarded, without those that have no id.
     pub fn event_count(&self) -> u64 {
         self.event_count
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Whether an unfinished event is buffered.
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Forgets the unfinished event: the stream goes on from another source.
+    /// Discards the unfinished event, because the stream continues from another source.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes and gives all events that are whole, without those already passed on.
+    /// Appends `data` and returns all complete events that were not forwarded before.
     ///
     /// # Errors
     ///
-    /// A [`SequenceFault`] if the stream can't be passed on.
+    /// A [`SequenceFault`] if the stream can't be continued.
     pub fn push(&mut self, data: &[u8]) -> Result<Bytes, SequenceFault> {
         self.partial.extend_from_slice(data);
-        let mut whole = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(end) = event_end(&self.partial) {
             let event = self.partial.split_to(end);
             if self.accept(event_id(&event))? {
-                whole.extend_from_slice(&event);
+                complete.extend_from_slice(&event);
             }
         }
         if self.partial.len() > EVENT_BYTES_MAX {
             return Err(SequenceFault::TooLong);
         }
-        Ok(whole.freeze())
+        Ok(complete.freeze())
     }
 
-    /// Whether the event with this id is the next one. One without an id belongs to its place.
+    /// Returns whether to forward the event with this id. Events without an id are forwarded in place.
     fn accept(&mut self, id: Option<u64>) -> Result<bool, SequenceFault> {
         let Some(id) = id else {
             return Ok(true);
@@ -88,7 +88,7 @@
     }
 }
 
-/// The length of the first whole event: up to and with its blank line.
+/// Returns the length of the first complete event, including its terminating blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
@@ -104,7 +104,7 @@
     None
 }
 
-/// The number in the event's `id` line.
+/// Returns the number in the event's `id` line.
 fn event_id(event: &[u8]) -> Option<u64> {
     event
         .split(|byte| *byte == b'\n')
--- a/src/gateway/events/tests.rs
+++ b/src/gateway/events/tests.rs
@@ -10,40 +10,40 @@
 }
 
 #[test]
-fn bytes_that_come_in_pieces_are_passed_on_in_whole_events() {
+fn chunks_are_reassembled_into_complete_events() {
     let mut splitter = EventSplitter::default();
     let all = events(1..=3);
-    let mut passed = Vec::new();
+    let mut forwarded = Vec::new();
 
-    for piece in all.as_bytes().chunks(7) {
-        passed.extend_from_slice(&splitter.push(piece).unwrap());
+    for chunk in all.as_bytes().chunks(7) {
+        forwarded.extend_from_slice(&splitter.push(chunk).unwrap());
     }
 
-    assert_eq!(passed, all.as_bytes());
+    assert_eq!(forwarded, all.as_bytes());
     assert_eq!(splitter.last_id(), Some(3));
     assert!(!splitter.has_partial());
 }
 
 #[test]
-fn an_unfinished_event_is_held() {
+fn an_unfinished_event_is_buffered() {
     let mut splitter = EventSplitter::default();
 
-    let passed = splitter.push(b"id: 1\ndata: x").unwrap();
+    let forwarded = splitter.push(b"id: 1\ndata: x").unwrap();
 
-    assert!(passed.is_empty());
+    assert!(forwarded.is_empty());
     assert!(splitter.has_partial());
 }
 
 #[test]
-fn what_was_passed_on_before_is_dropped_after_a_restart() {
+fn events_already_forwarded_are_dropped_after_a_resume() {
     let mut splitter = EventSplitter::default();
     splitter.push(events(1..=5).as_bytes()).unwrap();
     splitter.push(b"id: 6\nda").unwrap();
 
     splitter.discard_partial();
-    let passed = splitter.push(events(4..=7).as_bytes()).unwrap();
+    let forwarded = splitter.push(events(4..=7).as_bytes()).unwrap();
 
-    assert_eq!(passed, events(6..=7).as_bytes());
+    assert_eq!(forwarded, events(6..=7).as_bytes());
 }
 
 #[test]
@@ -61,14 +61,14 @@
     let mut splitter = EventSplitter::default();
     let text = b"id: 1\r\ndata: x\r\n\r\n";
 
-    let passed = splitter.push(text).unwrap();
+    let forwarded = splitter.push(text).unwrap();
 
-    assert_eq!(&passed[..], text);
+    assert_eq!(&forwarded[..], text);
     assert_eq!(splitter.last_id(), Some(1));
 }
 
 #[test]
-fn an_endless_event_is_a_fault() {
+fn an_oversized_event_is_a_fault() {
     let mut splitter = EventSplitter::default();
     let chunk = vec![b'x'; 1 << 19];
 
