--- a/src/gateway/rendezvous.rs
+++ b/src/gateway/rendezvous.rs
@@ -1,25 +1,27 @@
-//! Who of many does something, as each decides for itself by the highest of their weights (rendezvous hashing): the
-//! same one for all who know the same others, another one for each thing to do.
+//! Rendezvous hashing: assigns each task to one of several members without coordination.
+//!
+//! The member with the highest weight for a task performs it. Members that know the same set choose the same one,
+//! and the tasks are spread over all members.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many of `others`, among whom `own` may be itself, come before `own` in doing what `what` names.
-pub(crate) fn rank<'a>(own: &str, others: impl Iterator<Item = &'a str>, what: &str) -> usize {
-    let own = weight(own, what);
-    others.filter(|other| weight(other, what) > own).count()
+/// Returns how many of `others` rank before `own` for `task`. `others` may include `own`.
+pub(crate) fn rank<'a>(own: &str, others: impl Iterator<Item = &'a str>, task: &str) -> usize {
+    let own = weight(own, task);
+    others.filter(|other| weight(other, task) > own).count()
 }
 
-fn weight(name: &str, what: &str) -> u64 {
+fn weight(name: &str, task: &str) -> u64 {
     let seed = xxh3_64_with_seed(name.as_bytes(), 0);
-    xxh3_64_with_seed(what.as_bytes(), seed)
+    xxh3_64_with_seed(task.as_bytes(), seed)
 }
 
-/// Whether `own` does what `what` names, and none of `others`, among whom it may be itself.
+/// Returns whether no member of `others` ranks before `own` for `task`. `others` may include `own`.
 pub(crate) fn is_first<'a>(
     own: &str,
     mut others: impl Iterator<Item = &'a str>,
-    what: &str,
+    task: &str,
 ) -> bool {
-    let own = weight(own, what);
-    others.all(|other| weight(other, what) <= own)
+    let own = weight(own, task);
+    others.all(|other| weight(other, task) <= own)
 }
--- a/src/gateway/ticks/tests.rs
+++ b/src/gateway/ticks/tests.rs
@@ -5,9 +5,10 @@
 
 use super::first_tick_after;
 
-// A dozen tasks woke a host forty times a second, each by itself.
+// Guards against periodic tasks that each wake the process on their own: a dozen of them caused forty wake-ups
+// a second.
 #[test]
-fn tasks_of_one_host_look_together() {
+fn periodic_tasks_of_a_host_wake_together() {
     let started = Instant::now();
     let intervals = [100, 100, 100, 200, 250, 250, 250].map(Duration::from_millis);
     let mut wakes = BTreeSet::new();
