--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,6 +1,6 @@
-//! One connection to an upstream, with an exact account of what became of a request on it.
+//! A connection to an upstream that reports whether a failed request was written.
 //!
-//! hyper's connection is used directly: it alone gives back a request that was never written.
+//! hyper's low-level connection is used directly, because only it returns a request that was never written.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,27 +18,28 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// What is read ahead of a stream that its caller doesn't take.
+/// Read buffer for streams: the maximum that is read ahead while the client reads slowly.
 const STREAM_BUFFER_BYTES: usize = 8 * 1_024;
-/// The same of an answer that is read whole, bounded elsewhere.
+/// Read buffer for responses that are read as a whole. Their size is limited elsewhere.
 const RESPONSE_BUFFER_BYTES: usize = 400 * 1_024;
-/// A quiet connection is probed after this time, and then again and again.
+/// Idle time before the first TCP keepalive probe.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Interval between TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a connection may be silent before it counts as cut.
+/// Timeouts and buffer size of a connection, by its use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionProfile {
-    /// A cut is noticed within two seconds, the shortest bound on a stale view: for calls and reads
-    /// that can be made again.
+    /// For calls and reads that can be retried. A network partition is detected within two seconds, the
+    /// shortest bound on stale data.
     Call,
-    /// A cut of some seconds is waited out: for streams, which can't be made again and whose bytes
-    /// arrive when it is over. Callers wait for the next event for 7 s.
+    /// For streams, which can't be retried. The connection survives a network partition of several seconds and
+    /// delivers the bytes afterwards, because clients wait 7 s for the next event.
     Stream,
 }
 
 impl ConnectionProfile {
-    /// After so long an unacknowledged write breaks the connection.
+    /// Time after which an unacknowledged write closes the connection (`TCP_USER_TIMEOUT`).
     const fn user_timeout(self) -> Duration {
         match self {
             ConnectionProfile::Call => Duration::from_millis(1_200),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// After so many unanswered probes the connection breaks.
+    /// Number of unanswered keepalive probes after which the connection is closed.
     const fn probes(self) -> u32 {
         match self {
             ConnectionProfile::Call => 2,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// So much is read before it is asked for.
+    /// Maximum size of hyper's read buffer.
     const fn buffer_bytes(self) -> usize {
         match self {
             ConnectionProfile::Call => RESPONSE_BUFFER_BYTES,
@@ -63,17 +64,17 @@
     }
 }
 
-/// Why an exchange has no answer.
+/// The reason why a request has no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConnectionError {
-    /// Nothing of the request was written.
+    /// No part of the request was written.
     NotWritten(String),
-    /// It was or may have been written.
+    /// The request was written, or may have been.
     Unknown(String),
 }
 
 impl ConnectionError {
-    /// What happened.
+    /// Returns the description of the failure.
     pub fn reason(&self) -> &str {
         match self {
             ConnectionError::NotWritten(reason) | ConnectionError::Unknown(reason) => reason,
@@ -81,7 +82,7 @@
     }
 }
 
-/// Ends the connection's task with its owner, which closes the socket at once.
+/// Aborts the connection's task on drop, which closes the socket immediately.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// An open connection.
+/// An open HTTP/1.1 connection.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -99,11 +100,11 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::NotWritten`] if it isn't established within `timeout`.
+    /// [`ConnectionError::NotWritten`] if the connection isn't established within `timeout`.
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -133,16 +134,16 @@
         })
     }
 
-    /// Whether the connection takes another request.
+    /// Whether the connection can send another request.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// What became of the request.
+    /// A [`ConnectionError`] that says whether the request may have been written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -164,7 +165,7 @@
     }
 }
 
-/// hyper's errors hide their cause in their source.
+/// Formats an error with its source, because the message of a hyper error omits the cause.
 pub(crate) fn error_with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to upstreams, kept for requests that may run again.
+//! A pool of idle connections to upstreams, used for requests that may be retried.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 use crate::gateway::connection::Connection;
 use crate::gateway::instance::InstanceId;
 
-/// An idle connection is closed after this time. Upstreams announce timeouts in whole seconds, and
-/// some drop idle connections sooner without a word.
+/// Time after which an idle connection is closed. Upstreams announce their timeouts in whole seconds, and some
+/// drop idle connections earlier than announced.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Idle connections kept to one upstream.
+/// Maximum number of idle connections per upstream instance.
 const IDLE_CONNECTIONS_MAX: usize = 4;
 
-/// Idle connections by the instance that they lead to.
+/// Idle connections, by upstream instance.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: HashMap<InstanceId, Vec<(Connection, Instant)>>,
 }
 
 impl ConnectionPool {
-    /// An idle connection that still looks alive.
+    /// Takes an idle connection to `upstream` that has not expired and is still usable.
     pub fn take(&mut self, upstream: &InstanceId) -> Option<Connection> {
         let connections = self.idle.get_mut(upstream)?;
         while let Some((connection, since)) = connections.pop() {
@@ -32,7 +32,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool. The last response on it must have been read completely.
     pub fn put(&mut self, upstream: &InstanceId, connection: Connection) {
         let connections = self.idle.entry(upstream.clone()).or_default();
         if connections.len() < IDLE_CONNECTIONS_MAX {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long or are no longer usable.
     pub fn close_expired(&mut self) {
         for connections in self.idle.values_mut() {
             connections.retain(|(connection, since)| {
