--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -37,7 +37,7 @@
 use crate::gateway::peerfetch::SEED_TIMEOUT;
 use crate::gateway::peerfetch::fetch_later;
 use crate::gateway::peers::Fetch;
-use crate::gateway::protocol::OwnCall;
+use crate::gateway::protocol::InternalRequest;
 use crate::gateway::shared::Shared;
 use crate::gateway::transferguard::TransferGuard;
 use crate::telemetry;
@@ -256,7 +256,7 @@
         if missing.is_empty() {
             return Ok(Outcome::Complete);
         }
-        let call = OwnCall {
+        let call = InternalRequest {
             method: Method::POST,
             path: PIECES_PATH.to_owned(),
             body: frames::encode_ids(&missing),
@@ -288,7 +288,7 @@
             telemetry::count(Metric::BadDocumentsTotal);
         }
         let assembly = self.assembly.as_ref();
-        let line = self.shared.log().line(EventCode::PeerSuspected);
+        let line = self.shared.log().entry(EventCode::PeerSuspected);
         line.with("peer", self.source.peer.to_string())
             .with("reason", error.to_string())
             .with_some("version", assembly.map(|known| known.manifest().version))
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,6 +1,6 @@
-//! One connection to an upstream, with an exact account of what became of a request on it.
+//! A connection to an upstream that reports whether a failed request was written.
 //!
-//! hyper's connection is used directly: it alone gives back a request that was never written.
+//! hyper's low-level connection is used directly, because only it returns a request that was never written.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,70 +18,71 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// What is read ahead of a stream that its caller doesn't take.
+/// Read buffer for streams: the maximum that is read ahead while the client reads slowly.
 const STREAM_BUFFER_BYTES: usize = 8 * 1_024;
-/// The same of an answer that is read whole, bounded elsewhere.
-const ANSWER_BUFFER_BYTES: usize = 400 * 1_024;
-/// A quiet connection is probed after this time, and then again and again.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-
-/// How long a connection may be silent before it counts as cut.
+/// Read buffer for responses that are read as a whole. Their size is limited elsewhere.
+const RESPONSE_BUFFER_BYTES: usize = 400 * 1_024;
+/// Idle time before the first TCP keepalive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// Interval between TCP keepalive probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Timeouts and buffer size of a connection, by its use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
-    /// A cut is noticed within two seconds, the shortest bound on a stale view: for calls and reads
-    /// that can be made again.
-    Short,
-    /// A cut of some seconds is waited out: for streams, which can't be made again and whose bytes
-    /// arrive when it is over. Callers wait for the next event for 7 s.
-    Long,
+pub enum ConnectionProfile {
+    /// For calls and reads that can be retried. A network partition is detected within two seconds, the
+    /// shortest bound on stale data.
+    Call,
+    /// For streams, which can't be retried. The connection survives a network partition of several seconds and
+    /// delivers the bytes afterwards, because clients wait 7 s for the next event.
+    Stream,
 }
 
-impl Patience {
-    /// After so long an unacknowledged write breaks the connection.
+impl ConnectionProfile {
+    /// Time after which an unacknowledged write closes the connection (`TCP_USER_TIMEOUT`).
     const fn user_timeout(self) -> Duration {
         match self {
-            Patience::Short => Duration::from_millis(1_200),
-            Patience::Long => Duration::from_millis(8_000),
+            ConnectionProfile::Call => Duration::from_millis(1_200),
+            ConnectionProfile::Stream => Duration::from_millis(8_000),
         }
     }
 
-    /// After so many unanswered probes the connection breaks.
+    /// Number of unanswered keepalive probes after which the connection is closed.
     const fn probes(self) -> u32 {
         match self {
-            Patience::Short => 2,
-            Patience::Long => 7,
+            ConnectionProfile::Call => 2,
+            ConnectionProfile::Stream => 7,
         }
     }
 
-    /// So much is read before it is asked for.
+    /// Maximum size of hyper's read buffer.
     const fn buffer_bytes(self) -> usize {
         match self {
-            Patience::Short => ANSWER_BUFFER_BYTES,
-            Patience::Long => STREAM_BUFFER_BYTES,
+            ConnectionProfile::Call => RESPONSE_BUFFER_BYTES,
+            ConnectionProfile::Stream => STREAM_BUFFER_BYTES,
         }
     }
 }
 
-/// Why an exchange has no answer.
+/// The reason why a request has no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failure {
-    /// Nothing of the request was written.
+pub enum ConnectionError {
+    /// No part of the request was written.
     NotWritten(String),
-    /// It was or may have been written.
+    /// The request was written, or may have been.
     Unknown(String),
 }
 
-impl Failure {
-    /// What happened.
+impl ConnectionError {
+    /// Returns the description of the failure.
     pub fn reason(&self) -> &str {
         match self {
-            Failure::NotWritten(reason) | Failure::Unknown(reason) => reason,
+            ConnectionError::NotWritten(reason) | ConnectionError::Unknown(reason) => reason,
         }
     }
 }
 
-/// Ends the connection's task with its owner, which closes the socket at once.
+/// Aborts the connection's task on drop, which closes the socket immediately.
 #[derive(Debug)]
 struct Driver(JoinHandle<()>);
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// An open connection.
+/// An open HTTP/1.1 connection.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -99,28 +100,29 @@
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Opens a connection to `address`.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotWritten`] if it isn't established within `timeout`.
+    /// [`ConnectionError::NotWritten`] if the connection isn't established within `timeout`.
     pub async fn open(
         address: SocketAddr,
         timeout: Duration,
-        patience: Patience,
-    ) -> Result<Self, Failure> {
+        profile: ConnectionProfile,
+    ) -> Result<Self, ConnectionError> {
         let connecting = TcpStream::connect(address);
         let stream = match tokio::time::timeout(timeout, connecting).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) => return Err(Failure::NotWritten(format!("connect: {error}"))),
-            Err(_) => return Err(Failure::NotWritten("connect: timeout".to_owned())),
+            Ok(Err(error)) => return Err(ConnectionError::NotWritten(format!("connect: {error}"))),
+            Err(_) => return Err(ConnectionError::NotWritten("connect: timeout".to_owned())),
         };
-        set_options(&stream, patience).map_err(|error| Failure::NotWritten(error.to_string()))?;
+        set_options(&stream, profile)
+            .map_err(|error| ConnectionError::NotWritten(error.to_string()))?;
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(patience.buffer_bytes())
+            .max_buf_size(profile.buffer_bytes())
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| Failure::NotWritten(error.to_string()))?;
+            .map_err(|error| ConnectionError::NotWritten(error.to_string()))?;
         let driver = actix_rt::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {address}: {error}");
@@ -132,52 +134,52 @@
         })
     }
 
-    /// Whether the connection takes another request.
+    /// Whether the connection can send another request.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// What became of the request.
+    /// A [`ConnectionError`] that says whether the request may have been written.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, ConnectionError> {
         if let Err(error) = self.sender.ready().await {
-            return Err(Failure::NotWritten(error.to_string()));
+            return Err(ConnectionError::NotWritten(error.to_string()));
         }
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
                 let unsent = error.take_message().is_some();
-                let reason = describe(error.error());
+                let reason = error_with_source(error.error());
                 match unsent {
-                    true => Err(Failure::NotWritten(reason)),
-                    false => Err(Failure::Unknown(reason)),
+                    true => Err(ConnectionError::NotWritten(reason)),
+                    false => Err(ConnectionError::Unknown(reason)),
                 }
             }
         }
     }
 }
 
-/// hyper's errors hide their cause in their source.
-pub(crate) fn describe(error: &hyper::Error) -> String {
+/// Formats an error with its source, because the message of a hyper error omits the cause.
+pub(crate) fn error_with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
     }
 }
 
-fn set_options(stream: &TcpStream, patience: Patience) -> std::io::Result<()> {
+fn set_options(stream: &TcpStream, profile: ConnectionProfile) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(patience.user_timeout()))?;
+    socket.set_tcp_user_timeout(Some(profile.user_timeout()))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(patience.probes());
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(profile.probes());
     socket.set_tcp_keepalive(&probes)
 }
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -147,7 +147,7 @@
             state,
             ordered_at: Some(rollout.ordered_at),
         };
-        let value = shared.protocol().rollout_status(&status);
+        let value = shared.protocol().encode_rollout_status(&status);
         let written = append_if_end(
             &shared,
             &mut self.client,
@@ -156,7 +156,7 @@
             end,
         );
         let is_written = written.await?;
-        let line = shared.log().line(EventCode::RolloutTold);
+        let line = shared.log().entry(EventCode::RolloutTold);
         line.with("service", rollout.service.as_str())
             .with("to", rollout.to.as_str())
             .with("order", rollout.ordered_at.to_string())
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -29,7 +29,7 @@
 use crate::gateway::configuration::Configuration;
 use crate::gateway::configuration::Customer;
 use crate::gateway::configuration::EngineSpec;
-use crate::gateway::decisions::Line;
+use crate::gateway::decisions::LogEntry;
 use crate::gateway::directory::Upstream;
 use crate::gateway::forward;
 use crate::gateway::forward::CallerRequest;
@@ -40,7 +40,7 @@
 use crate::gateway::placement;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
-use crate::gateway::pool::Pool;
+use crate::gateway::pool::ConnectionPool;
 use crate::gateway::protocol::GenerationSize;
 use crate::gateway::protocol::HeaderNames;
 use crate::gateway::refuse;
@@ -100,7 +100,7 @@
     /// The host's state.
     pub shared: Shared,
     /// Idle connections to upstreams.
-    pub pool: Rc<RefCell<Pool>>,
+    pub pool: Rc<RefCell<ConnectionPool>>,
 }
 
 impl WorkerState {
@@ -159,9 +159,9 @@
     }
 
     /// Starts a log entry about this request.
-    pub fn log_entry(&self, shared: &Shared, code: EventCode) -> Line {
+    pub fn log_entry(&self, shared: &Shared, code: EventCode) -> LogEntry {
         let ms = self.arrived.elapsed().as_secs_f64() * 1_000.0;
-        let entry = shared.log().line(code);
+        let entry = shared.log().entry(code);
         entry
             .with("request", self.id.as_str())
             .with("fingerprint", self.fingerprint.to_string())
@@ -468,7 +468,7 @@
 
 /// Refuses a request before it is admitted, when its route or customer may be unknown.
 fn reject(shared: &Shared, id: &str, request: &CallerRequest, refusal: &Refusal) -> HttpResponse {
-    let entry = shared.log().line(EventCode::RequestRefused);
+    let entry = shared.log().entry(EventCode::RequestRefused);
     entry
         .with("request", id)
         .with("target", request.target.as_str())
--- a/src/gateway/shared/activeconfig.rs
+++ b/src/gateway/shared/activeconfig.rs
@@ -118,14 +118,15 @@
             )));
         }
         let (protocol, key, document) = (self.0.protocol.clone(), key.to_owned(), document.clone());
-        let decoding = tokio::task::spawn_blocking(move || protocol.configuration(&key, &document));
+        let decoding =
+            tokio::task::spawn_blocking(move || protocol.decode_configuration(&key, &document));
         decoding
             .await
             .map_err(|error| Error::Document(error.to_string()))?
     }
 
     fn log_skipped_document(&self, key: &str, source: &str, error: &Error) {
-        let line = self.log().line(EventCode::RecordSkipped);
+        let line = self.log().entry(EventCode::RecordSkipped);
         line.with("source", source)
             .with("key", key)
             .with("reason", error.to_string())
@@ -162,7 +163,7 @@
         }
         self.drop_assembly(version);
         let behind = self.track_newer_version();
-        let line = self.log().line(EventCode::ConfigReady);
+        let line = self.log().entry(EventCode::ConfigReady);
         line.with("version", version)
             .with("bytes", document.len())
             .with("source", source)
--- a/src/gateway/shared/evacuations.rs
+++ b/src/gateway/shared/evacuations.rs
@@ -59,7 +59,7 @@
     fn decode_evacuations(&self, records: &[Record]) -> Vec<EvacuationRecord> {
         let decoded = records.iter().filter_map(|record| {
             let value = record.value.as_deref();
-            let evacuation = self.protocol().evacuation(&record.key, value)?;
+            let evacuation = self.protocol().decode_evacuation(&record.key, value)?;
             if let Some(flaw) = &evacuation.flaw {
                 self.log_bad_record(&record.key, flaw);
             }
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn log_bad_record(&self, key: &str, reason: &str) {
-        let line = self.log().line(EventCode::RecordSkipped);
+        let line = self.log().entry(EventCode::RecordSkipped);
         line.with("source", "log")
             .with("key", key)
             .with("reason", reason)
@@ -86,7 +86,7 @@
                 let position = directory.evacuations().as_of();
                 (position, directory.listed_in(&change.data_centre).count())
             });
-            let line = self.log().line(code);
+            let line = self.log().entry(code);
             line.with("data_centre", change.data_centre.as_str())
                 .with("upstreams", upstreams)
                 .with("position", position.to_string())
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -68,7 +68,7 @@
         let mut changes = Vec::new();
         for record in records {
             let value = record.value.as_deref();
-            let Some(rollout) = self.protocol().rollout(&record.key, value) else {
+            let Some(rollout) = self.protocol().decode_rollout(&record.key, value) else {
                 continue;
             };
             if let Some(flaw) = &rollout.flaw {
@@ -110,7 +110,7 @@
                 true => EventCode::RolloutOrdered,
                 false => EventCode::RolloutStep,
             };
-            let line = self.log().line(code);
+            let line = self.log().entry(code);
             line.with("service", change.service.as_str())
                 .with("to", change.to.as_str())
                 .with("order", change.ordered_at.to_string())
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -25,7 +25,7 @@
 use crate::gateway::movequeue::Ticket;
 use crate::gateway::placement::Candidate;
 use crate::gateway::placement::Need;
-use crate::gateway::protocol::CopyDone;
+use crate::gateway::protocol::MemoryCopy;
 use crate::gateway::serve;
 use crate::gateway::serve::CandidateSet;
 use crate::telemetry;
@@ -54,7 +54,7 @@
 /// as a destination.
 const DESTINATION_MEMORY_SHARE_MAX: f64 = 0.9;
 
-pub(super) type CopyResult = std::result::Result<CopyDone, CopyFailure>;
+pub(super) type CopyResult = std::result::Result<MemoryCopy, CopyFailure>;
 
 /// The state of a move.
 pub(super) enum MoveState {
@@ -369,7 +369,7 @@
                 self.moving = MoveState::None;
                 self.running = *running;
                 self.stream_error = None;
-                self.splitter.restart();
+                self.splitter.discard_partial();
                 self.leaving_since = None;
                 telemetry::count_of_service(Metric::StreamMovesTotal, &service);
                 self.log_move("continued", Some(to));
