--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -27,11 +27,11 @@
 pub mod evidence;
 
 /// Fraction of the exposure bound that the trial uses.
-const TRIAL_SHARE: f64 = 0.5;
+const TRIAL_BOUND_FRACTION: f64 = 0.5;
 /// Fraction of the bound's share that a host uses while it doesn't know the age of the order.
-const TRIAL_SHARE_UNDATED: f64 = 0.2;
+const TRIAL_BOUND_FRACTION_UNDATED: f64 = 0.2;
 /// Fraction of the exposure bound that neither the trial nor the shift uses.
-const RESERVED_SHARE: f64 = 0.1;
+const RESERVED_BOUND_FRACTION: f64 = 0.1;
 /// Fraction of the order's duration after which the shift ends.
 const SHIFT_END_FRACTION: f64 = 0.8;
 /// Fraction of the order's duration after which [`LATE_ANSWERS_MIN`] answers are enough to end the trial.
@@ -313,8 +313,8 @@
     /// Fraction of this host's requests that the new version gets during the trial.
     fn trial_share(&self, bound: ExposureBound) -> f64 {
         let fraction = match self.is_dated() {
-            true => TRIAL_SHARE,
-            false => TRIAL_SHARE_UNDATED,
+            true => TRIAL_BOUND_FRACTION,
+            false => TRIAL_BOUND_FRACTION_UNDATED,
         };
         bound.share * fraction
     }
@@ -325,8 +325,8 @@
         let bound_requests =
             bound.share * requests_per_s * self.duration.as_secs_f64() + bound.slack;
         let trial_requests = self.trial_share(bound) * requests_per_s * self.duration.as_secs_f64()
-            + bound.slack * TRIAL_SHARE;
-        let left = bound_requests * (1.0 - RESERVED_SHARE) - trial_requests;
+            + bound.slack * TRIAL_BOUND_FRACTION;
+        let left = bound_requests * (1.0 - RESERVED_BOUND_FRACTION) - trial_requests;
         let seconds = (left / requests_per_s.max(1.0)).max(0.0);
         Duration::from_secs_f64(seconds).clamp(SHIFT_MIN, SHIFT_MAX)
     }
@@ -525,7 +525,7 @@
         // again.
         let started_before_order = rollout.is_dated() && rollout.age(now) < now.since(Time::ZERO);
         let slack = match started_before_order {
-            true => budget.bound.slack * TRIAL_SHARE / budget.hosts.max(1) as f64,
+            true => budget.bound.slack * TRIAL_BOUND_FRACTION / budget.hosts.max(1) as f64,
             false => 0.0,
         };
         let trial_credit = rollout.trial_credit.get_or_insert(sample + slack);
