--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -100,7 +100,7 @@
     tokio::time::sleep(START_DELAY).await;
     loop {
         write_pending(&shared, &mut client, &mut unwritten).await;
-        if is_reader(&shared) && schedule.is_due(Instant::now(), longest_silence(&shared)) {
+        if is_reader(&shared) && schedule.is_due(Instant::now(), partition_silence(&shared)) {
             let is_read = read_topic(&shared, &mut client).await;
             schedule.record_attempt(Instant::now(), is_read);
         }
@@ -138,7 +138,7 @@
 
 /// The longest silence of another data centre, if it may be cut off and know of crashes that this host
 /// doesn't.
-fn longest_silence(shared: &Shared) -> Option<Duration> {
+fn partition_silence(shared: &Shared) -> Option<Duration> {
     let now = shared.now();
     let silence = shared.peers(|peers| peers.longest_remote_silence(now));
     silence.filter(|silence| *silence > SILENCE_MIN)
@@ -146,7 +146,7 @@
 
 /// Writes the evidence that this host has gathered. Failed writes are retried in a later round.
 async fn write_pending(shared: &Shared, client: &mut OwnClient, unwritten: &mut Vec<Fingerprint>) {
-    let crashes_min = match longest_silence(shared) {
+    let crashes_min = match partition_silence(shared) {
         Some(_) => 1,
         None => WRITE_CRASHES_MIN,
     };
