--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -36,7 +36,7 @@
         let assessment = self.suspects(|suspects| suspects.assess(now, fingerprint))?;
         let held_back = match assessment.verdict {
             Verdict::Allowed => return None,
-            Verdict::Trial if self.is_trial(now, admitted) => return None,
+            Verdict::Trial if self.try_begin_trial(now, admitted) => return None,
             Verdict::Trial => TRIAL_RETRY_AFTER,
             Verdict::HeldBack(left) => left,
         };
@@ -52,7 +52,7 @@
     /// Whether a request is the trial of its content. One host of the fleet is chosen by rendezvous hashing to
     /// run it, the same by all hosts that have the same view of the fleet; the next request with this content
     /// that arrives there is the trial.
-    fn is_trial(&self, now: Time, admitted: &Admitted) -> bool {
+    fn try_begin_trial(&self, now: Time, admitted: &Admitted) -> bool {
         if admitted.is_trial.get() {
             return true;
         }
