--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -74,9 +74,9 @@
 
     /// A host sees an upstream crash and at once announces it to all hosts it knows: all of its own data
     /// centre and some of each other one.
-    fn crash(&mut self, now: Time, host: usize, crashed: usize) {
+    fn observe_crash(&mut self, now: Time, host: usize, upstream_index: usize) {
         let suspects = &mut self.hosts[host].suspects;
-        suspects.record_crash(now, content(0), &upstream(crashed));
+        suspects.record_crash(now, content(0), &upstream(upstream_index));
         let announced = suspects.observed_since(now, Time::from_us(now.as_us() - 1));
         let here = host % self.data_centres;
         for data_centre in 0..self.data_centres {
@@ -113,9 +113,9 @@
     /// The time from the last crash until all hosts hold the request back.
     fn time_until_all_hold_back(&mut self) -> Duration {
         let count = self.hosts.len();
-        for crashed in 0..CRASHES_MAX {
+        for index in 0..CRASHES_MAX {
             // Hosts of different data centres see the crashes.
-            self.crash(at(crashed as u64), crashed % count, crashed);
+            self.observe_crash(at(index as u64), index % count, index);
         }
         let last = at(CRASHES_MAX as u64);
         let mut now = last;
