--- a/src/gateway/admit/tests.rs
+++ b/src/gateway/admit/tests.rs
@@ -197,11 +197,11 @@
 }
 
 #[test]
-fn a_doubtful_engine_is_not_used_when_the_others_are_full() {
+fn an_unhealthy_engine_is_not_used_when_the_others_are_full() {
     let stats = EngineStats::default();
-    let mut doubtful = running(1, 1_000, 0);
-    doubtful.unhealthy = true;
-    let candidates = [running(8, 34_000, 0), doubtful];
+    let mut engine = running(1, 1_000, 0);
+    engine.unhealthy = true;
+    let candidates = [running(8, 34_000, 0), engine];
     let verdict = verdict(&report(None), &queue(&stats, 0, 35_000), &candidates);
     assert!(!matches!(verdict, Verdict::Start(_)));
 }
