--- a/src/gateway/admit.rs
+++ b/src/gateway/admit.rs
@@ -165,7 +165,8 @@
     }
 }
 
-/// The candidates with room for `demand`. Doubtful ones count only if all candidates are doubtful.
+/// The candidates with room for `demand`. Unhealthy ones count only if all candidates are
+/// unhealthy.
 fn with_room(demand: &Demand, candidates: &[Candidate], stats: &EngineStats) -> Vec<Candidate> {
     let any_healthy = candidates.iter().any(|candidate| !candidate.unhealthy);
     candidates
--- a/src/gateway/enginestats.rs
+++ b/src/gateway/enginestats.rs
@@ -26,7 +26,7 @@
 const ERROR_MIN_S: f64 = -1.0;
 /// Number of buckets; larger errors count in the last one.
 const ERROR_BUCKETS: usize = 80;
-/// Weight of the prior error, in prompts.
+/// Weight of [`ERROR_PRIOR`] in the histogram of errors, in observed first events.
 const ERROR_PRIOR_WEIGHT: f64 = 10.0;
 /// Prior rate of reading prompts beside running generations.
 const PREFILL_PRIOR_TOKENS_PER_S: f64 = 7_000.0;
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -108,7 +108,7 @@
 pub struct SenderStatus {
     /// The sender is new or back after a silence; for a remote sender, its whole data centre is.
     pub has_joined: bool,
-    /// The sender was unknown, and may not know this host either.
+    /// No datagram of the sender had been received, or the sender has been removed since.
     pub is_unknown: bool,
     /// The sender was unknown and counts less than half as many live hosts as this one.
     pub is_newcomer: bool,
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -196,9 +196,10 @@
     upstreams
 }
 
-/// Returns the candidate with the lowest score. Unhealthy candidates are used only if there is no other,
-/// and with stale remote counts a generation leaves its data centre only if no local engine has room.
-/// `draw` returns random numbers from 0 to 1.
+/// Returns the candidate with the lowest score after a random jitter, so that hosts with the same
+/// information don't all choose the same one. Unhealthy candidates are used only if there is no other, and
+/// with stale remote counts a generation leaves its data centre only if no local engine has room. `draw`
+/// returns the random numbers for the jitter, from 0 to 1.
 pub fn choose(
     need: Need,
     candidates: &[Candidate],
--- a/src/gateway/reportedloads.rs
+++ b/src/gateway/reportedloads.rs
@@ -20,7 +20,7 @@
     pub running: u32,
     /// Waiting requests.
     pub waiting: u32,
-    /// Current duration of calls relative to the usual one, which is 1.
+    /// Current duration of calls divided by the usual one: 1 at normal speed, more when slower.
     pub slowness: f64,
 }
 
--- a/src/gateway/rollouts.rs
+++ b/src/gateway/rollouts.rs
@@ -28,7 +28,7 @@
 
 /// Fraction of the exposure bound that the trial uses.
 const TRIAL_BOUND_FRACTION: f64 = 0.5;
-/// Fraction of the bound's share that a host uses while it doesn't know the age of the order.
+/// Fraction of [`ExposureBound::share`] that the trial uses at a host that doesn't know the age of the order.
 const TRIAL_BOUND_FRACTION_UNDATED: f64 = 0.2;
 /// Fraction of the exposure bound that neither the trial nor the shift uses.
 const RESERVED_BOUND_FRACTION: f64 = 0.1;
--- a/src/gateway/shared/suspects.rs
+++ b/src/gateway/shared/suspects.rs
@@ -49,9 +49,9 @@
         Some(refusal.retry_after_ms(ms))
     }
 
-    /// Whether a request is the trial of its content. One host of the fleet is chosen by rendezvous hashing to
-    /// run it, the same by all hosts that have the same view of the fleet; the next request with this content
-    /// that arrives there is the trial.
+    /// Begins the trial of a content with this request, if this host is chosen to run it and no other trial
+    /// may be running here. Returns whether the request is the trial, also if it was begun earlier. The host
+    /// is chosen by rendezvous hashing, the same by all hosts that have the same view of the fleet.
     fn try_begin_trial(&self, now: Time, admitted: &Admitted) -> bool {
         if admitted.is_trial.get() {
             return true;
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -136,8 +136,8 @@
     shared.is_reading(Topic::Operator)
 }
 
-/// The longest silence of another data centre, if it may be cut off and know of crashes that this host
-/// doesn't.
+/// The longest silence of another data centre, if it exceeds [`SILENCE_MIN`]: the data centre may be cut off
+/// and know of crashes that this host doesn't. None otherwise.
 fn partition_silence(shared: &Shared) -> Option<Duration> {
     let now = shared.now();
     let silence = shared.peers(|peers| peers.longest_remote_silence(now));
--- a/src/gateway/suspects/suspect.rs
+++ b/src/gateway/suspects/suspect.rs
@@ -18,7 +18,8 @@
 /// Another trial may begin if the last one has neither crashed its upstream nor been answered within this
 /// time.
 pub(super) const TRIAL_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long evidence that holds no request back is kept.
+/// Minimum time from the last change of evidence until it expires. Also how long an upstream without
+/// recorded crashes is remembered after it was last known to be alive.
 pub(super) const EVIDENCE_TTL: Duration = Duration::from_secs(600);
 /// Crashes kept per content. More of them don't lengthen the time for which it is held back.
 pub(super) const CRASHES_KEPT_MAX: usize = 8;
--- a/src/gateway/suspects/tests/spread.rs
+++ b/src/gateway/suspects/tests/spread.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// A host sees an upstream crash and at once announces it to all hosts it knows: all of its own data
-    /// centre and some of each other one.
+    /// Lets a host observe the crash of an upstream, which it announces at once to all hosts it knows: all of
+    /// its own data centre and some of each other one.
     fn observe_crash(&mut self, now: Time, host: usize, upstream_index: usize) {
         let suspects = &mut self.hosts[host].suspects;
         suspects.record_crash(now, content(0), &upstream(upstream_index));
