--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -119,8 +119,8 @@
 /// datagram would wake it, about a hundred times a second.
 fn batch_delay(shared: &Shared) -> Duration {
     let now = shared.now();
-    let near = shared.peers(|peers| peers.count_near(now));
-    let excess = saturating_u32(near.saturating_sub(BATCH_HOSTS_MIN));
+    let local_hosts = shared.peers(|peers| peers.count_near(now));
+    let excess = saturating_u32(local_hosts.saturating_sub(BATCH_HOSTS_MIN));
     BATCH_DELAY_PER_HOST
         .saturating_mul(excess)
         .min(BATCH_DELAY_MAX)
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -238,8 +238,8 @@
         jitter.min(FETCH_JITTER_MAX).mul_f64(rand::random())
     } else {
         let now = shared.now();
-        let near = shared.peers(|peers| peers.count_near(now));
-        let jitter = START_JITTER_PER_HOST * u32::try_from(near).unwrap_or(u32::MAX);
+        let local_hosts = shared.peers(|peers| peers.count_near(now));
+        let jitter = START_JITTER_PER_HOST * u32::try_from(local_hosts).unwrap_or(u32::MAX);
         jitter.mul_f64(rand::random())
     }
 }
