--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -205,24 +205,24 @@
         let has_holder = self
             .shared
             .peers(|peers| peers.hears_holder(now, self.topic));
-        has_holder && self.started_within(PEER_FETCH_WAIT)
+        has_holder && self.may_wait_for_peers(PEER_FETCH_WAIT)
     }
 
     /// Whether this host has just started and others may know what it lacks. Seeds read at once, and
     /// so does a host that can't connect to any.
     fn is_joining(&self) -> bool {
         let hosts = self.shared.fleet_size_estimate();
-        self.started_within(JOIN_WAIT + JOIN_WAIT_PER_HOST * hosts)
+        self.may_wait_for_peers(JOIN_WAIT + JOIN_WAIT_PER_HOST * hosts)
     }
 
     /// Whether this host knows from a seed what is in force, and hasn't heard yet who reads the log.
     fn awaits_first_reader(&self) -> bool {
         self.next.is_none()
             && !self.shared.has_live_reader(self.topic)
-            && self.started_within(FIRST_READER_WAIT.max(self.shared.reader_interval() * 2))
+            && self.may_wait_for_peers(FIRST_READER_WAIT.max(self.shared.reader_interval() * 2))
     }
 
-    fn started_within(&self, age: Duration) -> bool {
+    fn may_wait_for_peers(&self, age: Duration) -> bool {
         let settings = self.shared.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
         let is_recent = self.shared.now() < Time::ZERO + age;
