--- a/src/gateway/logreads.rs
+++ b/src/gateway/logreads.rs
@@ -1,9 +1,9 @@
-//! How a host reads the topics of the platform's log, and how far it trusts its own reads.
+//! Tracks per topic whether the platform's log answers this host's reads.
 //!
-//! A read waits at the log for news. One that is never answered looks the same as one for which there
-//! is no news: its connection stays open, and the log's side acknowledges bytes. So the wait is bound
-//! by how stale a host may be, the answer has to come shortly after it, and a host says that it reads
-//! a topic only while its last answer is no older than that.
+//! A read is a long poll. One that is never answered can't be told from one without new records: its
+//! connection stays open, and the log's side acknowledges bytes. So the wait is bounded by how stale a
+//! host may be, the answer has to arrive shortly after the wait, and a host announces that it reads a
+//! topic only while its last answer is no older than that.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 use crate::clock::Time;
 use crate::gateway::protocol::Topic;
 
-/// Part of the bound on staleness for which a read waits whose host reads for itself alone: with
-/// [`ANSWER_SLACK_MIN`] and one connection to the log (0.4 s) it ends within the bound of two seconds.
+/// Share of the staleness bound for which a read waits on a host that reads only for itself. Together with
+/// [`ANSWER_SLACK_MIN`] and one connection to the log (0.4 s), a read ends within a bound of 2 s.
 const WAIT_SHARE_HOST: f64 = 0.6;
-/// The same of a host on whose reading others rely. The rest of the bound is for another host to
-/// notice, to read in its place, and for all to fetch what it read.
+/// Share of the staleness bound for which a read waits on a host that reads for others. The rest is left
+/// for another host to detect the failure and read instead, and for all hosts to fetch what it read.
 const WAIT_SHARE_FLEET: f64 = 0.25;
-/// An answer comes at least within this time after its wait: the log's own time is some ms, and 0.24 s
-/// where it was slow.
+/// Lower bound of the time by which an answer may arrive after its wait. The log itself takes a few
+/// milliseconds, and 0.24 s when it is slow.
 const ANSWER_SLACK_MIN: Duration = Duration::from_millis(400);
-/// The longest such time; a read that was lost just before the log's return is given up after it.
+/// Upper bound of that time. It limits how long a read that was lost just before the log became reachable
+/// again holds up the next one.
 const ANSWER_SLACK_MAX: Duration = Duration::from_millis(1_200);
-/// An answer may come so many times later than the latest one before.
+/// An answer may be delayed by this multiple of the largest recent delay.
 const ANSWER_SLACK_FACTOR: u32 = 3;
-/// Part of the latest delay that is remembered with each answer.
+/// Share of the largest recent delay that is kept at each answer.
 const DELAY_DECAY: f64 = 0.9;
-/// Between an answer and the next read, on a host of a tenth of a core.
+/// Time between an answer and the next read on a host with a tenth of a core.
 const READ_GAP_MAX: Duration = Duration::from_millis(200);
 
-/// For whom a host reads.
+/// Which hosts rely on this host's reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadScope {
     /// Each host reads for itself.
@@ -38,7 +39,7 @@
     Fleet,
 }
 
-/// How long a read waits at the log for news, if a host may be stale for `staleness_max`.
+/// How long a read waits at the log for new records if a host may be stale for `staleness_max`.
 pub(crate) fn poll_wait(staleness_max: Duration, scope: ReadScope) -> Duration {
     staleness_max.mul_f64(match scope {
         ReadScope::Host => WAIT_SHARE_HOST,
@@ -46,19 +47,19 @@
     })
 }
 
-/// The reading of one topic.
+/// The state of the reads of one topic.
 #[derive(Debug, Clone, Copy)]
 struct TopicReads {
     answered_at: Option<Time>,
     unreachable_since: Option<Time>,
-    /// The latest that an answer came after its wait, of late.
+    /// Largest recent delay of an answer after its wait; it decays with each answer.
     delay_max: Duration,
-    /// Reads in a row that came to nothing.
+    /// Consecutive failed reads.
     failures: u32,
 }
 
 impl Default for TopicReads {
-    /// Nothing was read yet: the topic counts as lost since the host's start.
+    /// A topic that was never read counts as unreachable since the host's start.
     fn default() -> Self {
         TopicReads {
             answered_at: None,
@@ -79,7 +80,7 @@
     }
 }
 
-/// The reading of all topics.
+/// The state of the reads of all topics.
 #[derive(Debug, Default)]
 pub(crate) struct LogReads {
     topics: BTreeMap<Topic, TopicReads>,
@@ -90,8 +91,8 @@
         self.topics.get(&topic).copied().unwrap_or_default()
     }
 
-    /// The log answered a read of a topic, `delay` after the wait that was asked for. Tells for how
-    /// long it had not answered, if the topic was lost.
+    /// Records that the log answered a read of a topic, `delay` after the end of the requested wait. Returns
+    /// the length of the outage if the topic was unreachable.
     pub(crate) fn record_answer(
         &mut self,
         now: Time,
@@ -108,7 +109,7 @@
             .map(|unreachable_since| now.since(unreachable_since))
     }
 
-    /// More of an answer to a read of a topic has arrived.
+    /// Records that another part of the answer to a read of a topic has arrived.
     pub(crate) fn record_progress(&mut self, now: Time, topic: Topic) {
         if let Some(reads) = self.topics.get_mut(&topic)
             && reads.unreachable_since.is_none()
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A read of a topic came to nothing. True if the topic could be read before.
+    /// Records that a read of a topic failed. Returns whether the topic was reachable before.
     pub(crate) fn record_failure(&mut self, now: Time, topic: Topic) -> bool {
         let reads = self.topics.entry(topic).or_default();
         let was_reachable = reads.unreachable_since.is_none();
@@ -126,24 +127,24 @@
         was_reachable
     }
 
-    /// Nothing that was read counts any more, as after the host was suspended.
+    /// Marks all topics as unreachable, because after a suspension of the host earlier answers don't count.
     pub(crate) fn mark_all_unreachable(&mut self, now: Time) {
         for reads in self.topics.values_mut() {
             reads.unreachable_since.get_or_insert(now);
         }
     }
 
-    /// Whether the last read of a topic came to nothing, or none was answered yet.
+    /// Whether the last read of a topic failed, or none was answered yet.
     pub(crate) fn is_unreachable(&self, topic: Topic) -> bool {
         self.topic(topic).unreachable_since.is_some()
     }
 
-    /// How long after its wait an answer may come.
+    /// How long after the end of its wait a read may still be answered.
     pub(crate) fn answer_slack(&self, topic: Topic) -> Duration {
         self.topic(topic).answer_slack()
     }
 
-    /// Whether reads of a topic that wait for `wait` are being answered.
+    /// Whether the last read of a topic was answered, and recently enough for reads that wait for `wait`.
     pub(crate) fn is_answered(&self, now: Time, topic: Topic, wait: Duration) -> bool {
         let reads = self.topic(topic);
         let ttl = wait + reads.answer_slack() + READ_GAP_MAX;
--- a/src/gateway/logreads/tests.rs
+++ b/src/gateway/logreads/tests.rs
@@ -70,7 +70,7 @@
     assert!(!board.is_answered(Time::from_ms(1_100), Topic::Upstreams, WAIT));
 }
 
-// A log that answers after half a second would never be read if its answers were given up after 0.4 s.
+// Guards against a fixed timeout: reads of a log that takes 0.5 s to answer would all fail after 0.4 s.
 #[test]
 fn the_time_for_an_answer_follows_a_slow_log() {
     let mut board = answered_at(1_000);
--- a/src/gateway/position.rs
+++ b/src/gateway/position.rs
@@ -1,8 +1,8 @@
-//! Positions in the platform's log, which may return from an older copy of itself.
+//! Positions in the platform's log, which may be restored from an older copy.
 //!
-//! What was written after the copy is then gone, and its offsets are given out again. The log tells in all its answers
-//! how often that has happened: its era. Offsets of two eras say nothing about each other; positions, an era
-//! and an offset, are ordered by what was written later.
+//! A restore loses the records written after the copy and assigns their offsets again. Every answer of the
+//! log states its era, which grows with each restore. Offsets of different eras can't be compared, so a
+//! position is an era and an offset, ordered in the order of writing.
 
 use std::fmt;
 
@@ -11,7 +11,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One history of the log. The first one that a log tells is 1; 0 is that of a log that tells none.
+/// Number of a period between two restores of the log. A log that states eras starts at 1; 0 stands for a
+/// log that states none.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,12 +20,12 @@
 pub struct Era(u64);
 
 impl Era {
-    /// The era of this number.
+    /// Returns the era with this number.
     pub const fn new(number: u64) -> Self {
         Era(number)
     }
 
-    /// Its number.
+    /// The number of the era; 0 if the log states none.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -36,19 +37,19 @@
     }
 }
 
-/// What an answer of the log tells of its era.
+/// The era that an answer of the log states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StatedEra {
-    /// Nothing: the era is the one that is known.
+    /// None is stated: the era is the latest known one.
     Nothing,
-    /// This one.
+    /// The stated era.
     Era(Era),
-    /// Something that is no era.
+    /// The stated value is not a number above 0.
     Unreadable,
 }
 
 impl StatedEra {
-    /// The era that the header `name` tells.
+    /// Parses the era from the header `name`.
     pub fn from_headers(headers: &HeaderMap, name: &HeaderName) -> Self {
         let Some(value) = headers.get(name) else {
             return StatedEra::Nothing;
@@ -66,25 +67,25 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// The history that the offset is of.
+    /// The era in which the offset was assigned.
     pub era: Era,
-    /// The number of a record of the topic.
+    /// The number of a record within the topic.
     pub offset: u64,
 }
 
 impl Position {
-    /// The position of `offset` in `era`.
+    /// Returns the position of `offset` in `era`.
     pub const fn new(era: Era, offset: u64) -> Self {
         Position { era, offset }
     }
 
-    /// The position just before, in the same era.
+    /// The preceding position in the same era, or this one if its offset is 0.
     pub const fn before(self) -> Self {
         Position::new(self.era, self.offset.saturating_sub(1))
     }
 }
 
-/// A position of a log that tells no era.
+/// Converts an offset of a log that states no era.
 impl From<u64> for Position {
     fn from(offset: u64) -> Self {
         Position::new(Era(0), offset)
