--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -1,9 +1,9 @@
-//! How a host gets a newer configuration from its peers, and serves its own to them.
+//! Fetches newer configurations from peers and serves the active one to them.
 //!
-//! A host that has been told of a newer version asks for its manifest, then for the pieces that it lacks,
-//! from one source after another until it has all ([`CatchUp`]). What has arrived is never asked for
-//! again. A source serves a few hosts at once ([`Transfers`]) and sends the others away; they ask those
-//! that have it by then.
+//! A host that learns of a newer version requests its manifest and then the pieces that it lacks, from one
+//! source after another until it has them all ([`CatchUp`]). Pieces that have arrived are not requested
+//! again. A source serves a few hosts at a time ([`Transfers`]) and refuses the others, which then try
+//! hosts that have completed the version in the meantime.
 //!
 //! [`CatchUp`]: crate::gateway::document::catchup::CatchUp
 //! [`Transfers`]: crate::gateway::document::transfers::Transfers
@@ -43,24 +43,25 @@
 use crate::telemetry;
 use crate::telemetry::Metric;
 
-/// Path of the manifest of the configuration in force.
+/// Path of the manifest of the active configuration.
 pub const CONFIGURATION_PATH: &str = "/peer/configuration";
-/// Path of pieces.
+/// Path of the pieces of the active configuration.
 pub const PIECES_PATH: &str = "/peer/pieces";
-/// A source that takes a newer version while it is asked is asked once more.
+/// Manifests requested from one source: a second one if the source switches to a newer version meanwhile.
 const MANIFEST_ATTEMPTS: usize = 2;
-/// A refusal of pieces costs a source little, however many hosts ask.
+/// Competing hosts assumed at a busy source. Refusing a request for pieces is cheap, so the pause before the
+/// next attempt needs no longer spread for a large fleet.
 const SOURCE_RIVALS: usize = 0;
-/// No host asks for more pieces than the largest document has.
+/// Size limit of a request for pieces: the ids of all pieces of the largest document.
 const IDS_BYTES_MAX: usize = DOCUMENT_BYTES_MAX as usize / PIECE_BYTES_MIN as usize * PieceId::LEN;
 
-/// Which configuration is asked for.
+/// The query of a manifest request.
 #[derive(Debug, Deserialize)]
 pub struct ConfigurationQuery {
     newer_than: u64,
 }
 
-/// Serves the manifest of the configuration in force, or 404 while it is not newer.
+/// Serves the manifest of the active configuration, or 404 if it isn't newer than the requested version.
 pub async fn serve_manifest(shared: &Shared, query: &ConfigurationQuery) -> HttpResponse {
     let active = shared.active_config();
     let newer = active.filter(|held| held.configuration.version > query.newer_than);
@@ -73,7 +74,7 @@
     }
 }
 
-/// Serves pieces of the configuration in force, or 503 while enough other hosts are being served.
+/// Serves pieces of the active configuration, or 503 while the maximum number of other hosts is being served.
 pub async fn serve_pieces(shared: &Shared, payload: web::Payload) -> HttpResponse {
     let ids = match payload.to_bytes_limited(IDS_BYTES_MAX).await {
         Ok(Ok(ids)) => ids,
@@ -114,7 +115,7 @@
         .streaming(stream::iter(frames))
 }
 
-/// Begins to fetch the newest version that is known of, `wait` from now, unless that is under way.
+/// Schedules a fetch of the newest known version after `wait`, unless one is in progress.
 pub(crate) fn fetch_soon(shared: &Shared, wait: Duration) {
     shared.track_newer_version();
     let task_shared = shared.clone();
@@ -123,7 +124,7 @@
     });
 }
 
-/// Asks one source after another until no newer version is known of, or nobody answers who has one.
+/// Fetches from one source after another until no newer version is known, or no source with one answers.
 async fn catch_up(shared: &Shared) {
     loop {
         let now = shared.now();
@@ -137,13 +138,14 @@
     }
 }
 
-/// What asking a source came to.
+/// The outcome of a fetch from one source.
 enum Outcome {
-    /// It is in force.
+    /// The source answered in full. After the last request, the document has been offered as the active
+    /// configuration.
     Complete,
-    /// The source serves as many as it can.
+    /// The source serves as many hosts as it can.
     Busy,
-    /// The source has nothing newer: it has started again since it told, or this host has caught up.
+    /// The source has nothing newer: it has restarted since its announcement, or this host has caught up.
     UpToDate,
 }
 
@@ -172,11 +174,11 @@
     }
 }
 
-/// Fetches the configuration from a seed, as a host does that starts.
+/// Fetches the configuration from a seed at startup.
 ///
 /// # Errors
 ///
-/// [`Error::Remote`] if the seed doesn't answer or is busy, [`Error::Document`] if what it tells is wrong.
+/// [`Error::Remote`] if the seed doesn't answer or is busy, [`Error::Document`] if its answer is invalid.
 pub(crate) async fn fetch_from_seed(shared: &Shared, seed: SocketAddr) -> Result<()> {
     let mut fetch = ConfigFetch::new(shared, seed, SEED_TIMEOUT);
     let outcome = fetch.run(None).await;
@@ -191,12 +193,12 @@
 struct ConfigFetch<'s> {
     shared: &'s Shared,
     source: PeerClient,
-    /// What is there of the document, from other sources too.
+    /// The pieces received so far, also from other sources.
     assembly: Option<Assembly>,
 }
 
 impl<'s> ConfigFetch<'s> {
-    /// Goes on with what has arrived of a version that is still newer than the one in force.
+    /// Continues the previous assembly if its version is still newer than the active one.
     fn new(shared: &'s Shared, source: SocketAddr, timeout: Duration) -> Self {
         let previous = shared.take_assembly();
         ConfigFetch {
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Fetches what is missing of `version`, or of whatever newer one the source has.
+    /// Fetches the missing pieces of `version`, or of any newer version that the source has.
     async fn run(&mut self, version: Option<u64>) -> Result<Outcome> {
         let known = self.assembly.as_ref().map(|known| known.manifest().version);
         let mut has_manifest = known.is_some() && known == version;
@@ -224,14 +226,14 @@
             if self.assembly.as_ref().is_some_and(Assembly::is_whole) {
                 return self.finish().await;
             }
-            // The source has a newer version by now.
+            // Pieces are missing because the source has switched to a newer version.
             has_manifest = false;
         }
-        let reason = "it lacks pieces of the version that it tells";
+        let reason = "it lacks pieces of the version that it announces";
         Err(self.source.error(reason))
     }
 
-    /// The source's manifest, if its version is newer than the one in force here.
+    /// Fetches the source's manifest if its version is newer than the active one here.
     async fn fetch_manifest(&mut self) -> Result<Option<Manifest>> {
         let newer_than = self.shared.config_version();
         let path = format!("{CONFIGURATION_PATH}?newer_than={newer_than}");
@@ -239,7 +241,7 @@
         body.map(|body| Manifest::decode(&body)).transpose()
     }
 
-    /// Goes on with what has arrived of another version.
+    /// Starts an assembly of `manifest`, reusing pieces of the active configuration and of other versions.
     fn start_assembly(&mut self, manifest: Manifest) {
         let shelf = self.assembly.take().map(Assembly::into_shelf);
         let active = self.shared.active_config();
@@ -298,12 +300,12 @@
     }
 }
 
-/// Puts pieces where they belong as they arrive.
+/// Adds pieces to an assembly as they arrive.
 struct PieceReceiver<'a> {
     assembly: &'a mut Assembly,
     expected: std::vec::IntoIter<PieceId>,
     frames: FrameReader,
-    /// What was wrong first. Nothing is taken after it.
+    /// The first error; pieces after it are ignored.
     fault: Option<Error>,
 }
 
@@ -331,7 +333,7 @@
         }
     }
 
-    /// Whether a piece had arrived.
+    /// Processes the next complete frame. Returns whether there was one.
     fn receive_next(&mut self) -> Result<bool> {
         let Some(packed) = self.frames.next_piece()? else {
             return Ok(false);
