--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the keyed topics of the platform's log: newest records first, then each one in order.
+//! Follows the keyed topics of the platform's log: reads the newest record of each key, then all later
+//! records in order.
 
 use std::time::Duration;
 
@@ -37,50 +38,52 @@
 pub(crate) use self::calls::append_if_end;
 pub(crate) use self::calls::read_newest;
 
-/// A call that doesn't wait, of a host that knows nothing yet: many start together.
+/// Timeout of a call that doesn't wait for new records. It is long enough for a host that starts together
+/// with many others.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Records that come together are read together: calls are priced, and this is far below the
-/// bound on configuration (2 s).
+/// Pause after a read, so that records written together are read together. Each call has a price, and the
+/// pause is far below the bound for applying a configuration (2 s).
 const BATCH_PAUSE: Duration = Duration::from_millis(20);
 const BACKOFF_MIN: Duration = Duration::from_millis(120);
 const BACKOFF_MAX: Duration = Duration::from_millis(700);
-/// Hosts that don't look out for a log that is away try it this seldom: calls are priced also while
-/// they are refused.
+/// Interval between the attempts of hosts that aren't probers while the log is unreachable. Refused calls
+/// have a price too.
 const UNREACHABLE_RETRY_INTERVAL: Duration = Duration::from_millis(3_000);
-/// A host that a seed has told what is in force waits so long for the first word of a reader: 295 hosts
-/// that start together hear it after 2.2 s, and each made 23 calls meanwhile, as upstreams list themselves
-/// then. Short against the bounds on staleness, which hold for hosts that have run for 3 s and more.
+/// Time for which a host that has the configuration from a seed waits for the first datagram of a reader
+/// before it reads the log itself. When 295 hosts start together, that datagram arrives after 2.2 s;
+/// without the wait each host made 23 calls until then, since upstreams list themselves at that time.
+/// The bounds on staleness hold from 3 s after a host's start, so the wait stays within them.
 const FIRST_READER_WAIT: Duration = Duration::from_millis(2_500);
-/// How often a host that listens looks whether it has to read for itself.
+/// Interval at which a host that relies on readers checks whether it has to read the log itself.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The same while it has just started.
+/// The same interval on a host that has just started.
 const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A host that starts gives those that its seeds name this time to tell what they know, and reads the
-/// log only then: hundreds that start together would all read all of it. With 0.4 s most of 78 did, as
-/// their seeds, of a tenth of a core, could not answer all by then.
+/// Time for which a starting host waits for the state from the hosts that its seeds name before it reads the
+/// log, so that hundreds of hosts that start together don't all read the whole log. After 0.4 s, seeds with
+/// a tenth of a core hadn't answered most of 78 hosts, which then read the log.
 const JOIN_WAIT: Duration = Duration::from_millis(1_000);
-/// and so much longer for each host that they tell of.
+/// Addition to [`JOIN_WAIT`] for each host of the estimated fleet.
 const JOIN_WAIT_PER_HOST: Duration = Duration::from_millis(1);
-/// While it hears others that know, a host leaves the log alone for this time.
+/// Time after its start for which a host without state relies on peers that have it and doesn't read the log.
 const PEER_FETCH_WAIT: Duration = Duration::from_secs(6);
 
-/// So much of a record that can't be used is shown in the log.
+/// Number of leading bytes of an unusable record that are written to the log.
 const LOGGED_BYTES_MAX: usize = 48;
 
-/// Why a topic must be read anew or later.
+/// Why a read of a topic was given up.
 #[derive(Debug)]
 pub(crate) enum ReadError {
-    /// Records that were not read are gone, or positions before are void.
+    /// Unread records have been deleted, or a restore of the log has invalidated earlier positions.
     Truncated,
-    /// Another host reads again what this one can't.
+    /// Another host has begun to read a topic that this host can't reach.
     ReachableElsewhere,
-    /// The host was suspended while a call was under way: the answer is of before.
+    /// The host was suspended during the call, so the answer may be out of date.
     Suspended,
-    /// The log can't be read.
+    /// The log didn't answer, or its answer can't be used.
     Unavailable(String),
 }
 
-/// What a step of following comes to.
+/// The result of a read of the log.
 pub(crate) type ReadResult<T> = std::result::Result<T, ReadError>;
 
 impl From<Error> for ReadError {
@@ -89,7 +92,7 @@
     }
 }
 
-/// Follows one topic for ever.
+/// Follows one topic until the task is cancelled.
 pub async fn follow(shared: Shared, topic: Topic) {
     let mut follower = Follower {
         client: OwnClient::new(shared.settings().log_address),
@@ -138,9 +141,9 @@
         .build()
 }
 
-/// Returns as soon as another host begins to read a topic that this host can't read. A call that it
-/// made before may never be answered, and the next one probably is: without this word the eight hosts of
-/// a deployment read both topics again 0.03 to 2.3 s after the log's return (own lines of one play).
+/// Returns as soon as another host begins to read a topic that this host can't reach. A call made before may
+/// never be answered, while a new one probably is. Without this signal, eight hosts of a deployment resumed
+/// reading both topics only 0.03 to 2.3 s after the log was reachable again.
 async fn wait_for_peer_read(shared: &Shared, topic: Topic) {
     let was_answered = shared.log_age(topic).is_some();
     if !was_answered || !shared.is_log_unreachable(topic) {
@@ -157,8 +160,8 @@
     }
 }
 
-/// Returns as soon as this host hears of a later history of the log than the one that it reads on in. The
-/// read that it made may wait for a record that was written long ago under another offset.
+/// Returns as soon as this host learns of a later era of the log than that of `next`. A read in progress may
+/// wait at an offset that the restored log hasn't reached, while newer records have lower offsets.
 async fn wait_for_later_era(shared: &Shared, next: Option<Position>) {
     let Some(next) = next else {
         return std::future::pending().await;
@@ -176,9 +179,9 @@
 }
 
 impl Follower {
-    /// Whether other hosts follow the log for this one, or may be about to tell what they know.
-    /// Where it begins again it starts from the newest records, since it doesn't know what they
-    /// have read.
+    /// Whether other hosts read the topic for this one, or may be about to send their state. If so, the
+    /// follower drops its position: when it reads again, it starts from the newest records, since it
+    /// doesn't know how far the others have read.
     fn relies_on_peers(&mut self) -> bool {
         let has_started = self.next.is_some() || self.shared.is_ready();
         let elsewhere = match has_started {
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Whether this host knows nothing yet and has others to ask that do: of hundreds that start together each gets the
-    /// list when its turn comes.
+    /// Whether a peer has the state of the topic and this host started recently enough to wait for it. When
+    /// hundreds of hosts start together, each waits its turn to fetch the list.
     fn can_fetch_from_peers(&self) -> bool {
         let now = self.shared.now();
         let has_holder = self
@@ -208,20 +211,22 @@
         has_holder && self.may_wait_for_peers(PEER_FETCH_WAIT)
     }
 
-    /// Whether this host has just started and others may know what it lacks. Seeds read at once, and
-    /// so does a host that can't connect to any.
+    /// Whether this host has just started and peers may have the state that it lacks. Seeds read the log at
+    /// once, and so does a host that can't connect to any seed.
     fn is_joining(&self) -> bool {
         let hosts = self.shared.fleet_size_estimate();
         self.may_wait_for_peers(JOIN_WAIT + JOIN_WAIT_PER_HOST * hosts)
     }
 
-    /// Whether this host knows from a seed what is in force, and hasn't heard yet who reads the log.
+    /// Whether this host has its state from a seed, but hasn't received a datagram from a reader yet.
     fn awaits_first_reader(&self) -> bool {
         self.next.is_none()
             && !self.shared.has_live_reader(self.topic)
             && self.may_wait_for_peers(FIRST_READER_WAIT.max(self.shared.reader_interval() * 2))
     }
 
+    /// Whether this host started less than `age` ago, is no seed and hasn't found all seeds unreachable, so that
+    /// peers may have the state that it lacks.
     fn may_wait_for_peers(&self, age: Duration) -> bool {
         let settings = self.shared.settings();
         let is_seed = settings.seeds.contains(&settings.peer_address);
@@ -229,9 +234,8 @@
         is_recent && !is_seed && self.shared.seed_state() != Seeds::Away
     }
 
-    /// Waits before the log is tried again: for `pause` on the hosts that look out for its return,
-    /// else longer, unless such a host reads it again before. A host that knows nothing yet doesn't
-    /// wait for others.
+    /// Waits before the next attempt to reach the log, until another host reads the topic at the latest.
+    /// Probers, and hosts without state, wait for `pause`; other hosts wait longer.
     async fn wait_before_retry(&mut self, pause: Duration) {
         let shared = self.shared.clone();
         tokio::select! {
@@ -259,8 +263,8 @@
         }
     }
 
-    /// Starts from the newest record of each key. The first page's end is where reading goes on, so
-    /// nothing is missed that changes while further pages are read.
+    /// Reads the newest record of each key. Reading continues from the end that the first page states, so no
+    /// change is missed that is written while further pages are read.
     async fn read_newest(&mut self) -> ReadResult<()> {
         let timeout = self.newest_timeout();
         let began = Instant::now();
@@ -281,7 +285,8 @@
         Ok(())
     }
 
-    /// Twice the time of a read without news, until an answer begins.
+    /// Timeout for the start of an answer: twice the answer slack, or [`CALL_TIMEOUT`] on a host without
+    /// state.
     fn newest_timeout(&self) -> Duration {
         match self.shared.is_initialized() {
             true => self.shared.answer_slack(self.topic) * 2,
@@ -304,7 +309,7 @@
         }
         let era = check_era(&self.shared, &answer.headers)?;
         if era != next.era {
-            // The same offset names another record, or none.
+            // In another era the same offset belongs to another record, or to none.
             return Err(ReadError::Truncated);
         }
         match answer.status {
@@ -331,8 +336,9 @@
         Ok(())
     }
 
-    /// Makes a call whose answer shows, from its head on, that the log answers: a large document may take
-    /// the link longer than an answer may be late. Tells also when the answer began.
+    /// Makes a call and records each arriving part of the answer as a sign that the log is reachable, since
+    /// the transfer of a large document may take longer than the answer slack. Also returns the time until
+    /// the head of the answer.
     async fn call(&mut self, call: &OwnCall, timeout: Duration) -> Result<(OwnAnswer, Duration)> {
         let began = Instant::now();
         let mut head_after = Duration::ZERO;
@@ -402,8 +408,8 @@
     }
 }
 
-/// The upstream that a record names; none where the key was removed, and where another writer's record
-/// names none: an upstream that it replaces is gone like one removed.
+/// Decodes the upstream of a record. Returns none if the key was removed, or if another writer's record can't
+/// be decoded: the upstream that such a record replaces counts as removed.
 fn decode_upstream(
     shared: &Shared,
     id: &UpstreamId,
@@ -420,7 +426,7 @@
     }
 }
 
-/// Says once of each record that it names no upstream.
+/// Logs, once per record, that a record can't be decoded as an upstream.
 fn log_foreign(shared: &Shared, id: &UpstreamId, at: Position, value: &[u8], error: &Error) {
     if !shared.directory(|directory| directory.note_foreign(id, at)) {
         return;
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the log's keyed topics: the newest record of each key, and one record more.
+//! Calls to the log's keyed topics: reading the newest record of each key, and appending a record.
 
 use std::time::Duration;
 
@@ -17,18 +17,18 @@
 use crate::gateway::shared::Shared;
 use crate::gateway::shared::StaleAnswer;
 
-/// The status of an append under a condition that doesn't hold (RFC 9110, section 15.5.13).
+/// Status of an append whose condition doesn't hold (RFC 9110, section 15.5.13).
 const PRECONDITION_FAILED: u16 = 412;
 
-/// The history of the log that an answer is of.
+/// Returns the era of an answer, or an error if the log has been restored since that era.
 pub(super) fn check_era(shared: &Shared, headers: &HeaderMap) -> ReadResult<Era> {
     shared.check_answer_era(headers).map_err(|StaleAnswer| {
-        ReadError::Unavailable("an answer from before the log's return".to_owned())
+        ReadError::Unavailable("an answer from before the log was restored".to_owned())
     })
 }
 
-/// The newest record of each key of a topic, and the position to read from next. All pages are of one
-/// history of the log.
+/// Reads the newest record of each key of a topic. Returns the records and the position to continue reading
+/// from. All pages are of the same era.
 pub(crate) async fn read_newest(
     shared: &Shared,
     client: &mut OwnClient,
@@ -50,7 +50,7 @@
         if from.era != era {
             return Err(ReadError::Truncated);
         }
-        // A page that ends where the one before did would be asked for again and again.
+        // Stops at a page that ends with the same key as the previous one, which would repeat for ever.
         let last = page.records.last().map(|record| &record.key);
         let more = page.more && last.is_some() && last != after.as_ref();
         records.extend(page.records);
@@ -60,7 +60,7 @@
     }
 }
 
-/// Appends a record to a topic of the system's own; one without a value removes its key.
+/// Appends a record to one of the system's own topics. An empty value removes the key.
 ///
 /// # Errors
 ///
@@ -79,7 +79,8 @@
     }
 }
 
-/// Appends a record to a topic of the system's own if that ends at `end`; whether it did.
+/// Appends a record to one of the system's own topics if the topic ends at `end`. Returns whether it was
+/// appended.
 ///
 /// # Errors
 ///
