--- a/tests/silentlog/mod.rs
+++ b/tests/silentlog/mod.rs
@@ -1,4 +1,4 @@
-//! A log that takes a read and never answers it, while its connection stays open.
+//! Tests hosts against a log that accepts reads and never answers them while connections stay open.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,21 +16,20 @@
 use crate::get;
 use crate::world;
 
-/// What the log tells is in force within the shortest bound of a deployment; a second is for a busy
-/// machine.
+/// The shortest staleness bound of a deployment, and a second for a busy machine.
 const ACTIVE_WITHIN: Duration = Duration::from_millis(2_000 + 1_000);
-/// Where a few hosts read for all, the bound is longer.
+/// The longer bound where a few hosts read for all, and a second for a busy machine.
 const ACTIVE_EVERYWHERE_WITHIN: Duration = Duration::from_millis(3_000 + 1_000);
-/// Hosts that read the log for themselves make a call at least this often while it changes.
+/// While the log changes, a host that reads it makes at least one call in this time.
 const QUIET_TIME: Duration = Duration::from_millis(500);
-/// From so many hosts on a few of them read the log for all.
+/// A fleet of this size or larger has a few hosts read the log for all.
 const FLEET_HOSTS: usize = 14;
 
 fn refuses_route(world: &World) -> bool {
     ask(world.callers(), &get("/nets/7", "")).status == 404
 }
 
-/// Whether the host knows no upstream that it may send a call to.
+/// Whether the host has no upstream to send a call to.
 fn refuses_calls(world: &World) -> bool {
     ask(world.callers(), &get("/nets/7", "")).status == 503
 }
@@ -39,15 +38,10 @@
     FakeUpstream::start(id, &[Behaviour::Answer(200, "sound")])
 }
 
-// A log was silent for nine seconds. A read of the upstreams was made during the silence and never
-// answered, also not after the log's return; it ended by its own timeout, 12 s after it began. The
-// other topic was read all the while, so the host believed that it reached the log, and sent calls to
-// an upstream 2.2 s after its notice:
-//
-//   34.340 E410 ConfigLogReachable reason=operator
-//   37.310 the log takes the notice of the upstream
-//   39.541 a call reaches the upstream
-//   40.991 E409 ConfigLogUnreachable reason="no answer in 12000 ms"
+// Guards against a lost read that blocks its topic. A read made while the log is silent stays unanswered
+// after the log is back. With a timeout of 12 s, and reachability tracked for both topics together, the
+// reads of the other topic hid the loss, and the host sent calls to an upstream 2.2 s after the notice
+// that it was leaving.
 #[test]
 fn an_upstreams_notice_is_heard_though_an_earlier_read_was_never_answered() {
     let (world, upstreams) = world("once", &[&[Behaviour::Answer(200, "0")]]);
@@ -65,7 +59,7 @@
     assert!(took < ACTIVE_WITHIN, "{took:?}");
 }
 
-// The same of what operators publish.
+// The same for the topic of operators: a lost read must not delay a new table.
 #[test]
 fn a_version_is_in_force_though_an_earlier_read_was_never_answered() {
     let (world, _upstreams) = world("once", &[&[Behaviour::Answer(200, "0")]]);
@@ -88,7 +82,7 @@
     fleet[1..].iter().map(|host| host.log.reads()).sum()
 }
 
-/// A fleet that serves by one upstream, of which only the first host reads the log.
+/// Starts a fleet with one upstream, in which only the first host reads the log.
 fn settled_fleet() -> (Vec<World>, FakeUpstream) {
     let fleet = World::start_fleet(FLEET_HOSTS);
     let upstream = healthy_upstream("up-0");
@@ -96,7 +90,7 @@
     let mut reads = 0;
     let mut quiet_since = Instant::now();
     let settled = wait_until(|| {
-        // Each record ends the reads that wait, so that hosts which are no readers make no other.
+        // Each new record ends the waiting reads, so that hosts that aren't readers start no further read.
         version += 1;
         let routes = json!([route("once")]);
         fleet[0]
@@ -114,11 +108,10 @@
     (fleet, upstream)
 }
 
-// The log fell silent for some hosts, the readers of all data centres among them. Their reads waited
-// without an answer; none of them had a line of a lost log, and they went on telling the others that
-// they read. So nobody else did: of 73 hosts no call arrived at the log from second 2 to 11. At 5.8 s
-// calls ran by keys that had been revoked at 2.8 s, and of fifteen engines that gave notice no host had
-// a line.
+// Guards against readers that announce themselves while their reads are unanswered. When the log is silent
+// for some hosts, all readers among them, these detect no failure, and no other host reads in their place:
+// none of 73 hosts called the log for 9 s, so calls were admitted with keys revoked 3 s before, and the
+// notices of fifteen leaving engines were missed.
 #[test]
 fn what_the_log_tells_is_in_force_everywhere_though_the_readers_reads_stay_unanswered() {
     let (fleet, upstream) = settled_fleet();
