--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -12,38 +12,38 @@
 use crate::id::HostId;
 use crate::id::RegionId;
 
-/// What a gateway host is told at its start.
+/// Settings that a gateway host gets at start.
 #[derive(Debug, Clone, PartialEq, Builder)]
 pub struct GatewaySettings {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it stands.
+    /// Data centre in which the host runs.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// Address on which clients connect.
     pub caller_address: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness endpoint.
     pub ready_address: SocketAddr,
-    /// Where other hosts fetch what they lack.
+    /// Address from which other hosts fetch the configuration and the upstreams they lack.
     pub peer_address: SocketAddr,
-    /// Where datagrams of other hosts arrive; all hosts use the same port.
+    /// Address for datagrams from other hosts. All hosts use the same port.
     pub gossip_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub metrics_address: SocketAddr,
-    /// Peer addresses of a few hosts; may be stale.
+    /// Peer addresses of a few other hosts. They may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's log.
+    /// Address of the platform's log.
     pub log_address: SocketAddr,
-    /// The shared bound on retries.
+    /// Options of the retry budget that the hosts share.
     pub retries: RetryBudgetOptions,
-    /// What the platform's log tells must be known within this time: the shortest bound that depends
-    /// on it.
+    /// Maximum time until the host knows a new record of the platform's log: the shortest of the bounds that
+    /// depend on the log.
     pub staleness_max: Duration,
-    /// Time between SIGTERM and the kill that follows.
+    /// Time between SIGTERM and the SIGKILL that follows.
     pub grace: Duration,
-    /// The region of each data centre.
+    /// Region of each data centre.
     #[builder(default)]
     pub regions: HashMap<DataCentre, RegionId>,
-    /// How many requests a bad version may get of all hosts together.
+    /// Limit on the requests that a bad version may receive from all hosts together.
     #[builder(default)]
     pub exposure: ExposureBound,
 }
