--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -33,8 +33,8 @@
     /// For calls and reads that can be retried. A network partition is detected within two seconds, the
     /// shortest bound on stale data.
     Call,
-    /// For streams, which can't be retried. The connection survives a network partition of several seconds and
-    /// delivers the bytes afterwards, because clients wait 7 s for the next event.
+    /// For streams, which can't be retried. The connection survives a network partition of several seconds
+    /// and delivers the bytes afterwards, because clients wait 7 s for the next event.
     Stream,
 }
 
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,7 +1,7 @@
 //! Splits a stream of server-sent events into complete events and checks their sequence numbers.
 //!
-//! Only complete events are forwarded, so that a broken stream can be resumed from another upstream at an event
-//! boundary.
+//! Only complete events are forwarded, so that a broken stream can be resumed from another upstream
+//! at an event boundary.
 
 use bytes::Bytes;
 use bytes::BytesMut;
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -8,8 +8,8 @@
 use crate::gateway::connection::Connection;
 use crate::gateway::instance::InstanceId;
 
-/// Time after which an idle connection is closed. Upstreams announce their timeouts in whole seconds, and some
-/// drop idle connections earlier than announced.
+/// Time after which an idle connection is closed. Upstreams announce their timeouts in whole seconds, and
+/// some drop idle connections earlier than announced.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum number of idle connections per upstream instance.
 const IDLE_CONNECTIONS_MAX: usize = 4;
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -224,8 +224,8 @@
     /// If the record is a configuration but can't be decoded.
     fn decode_configuration(&self, key: &str, value: &[u8]) -> Result<Option<Configuration>>;
 
-    /// Decodes a data centre's evacuation in a record of [`Topic::Operator`]. Returns `None` for other records.
-    /// A record without a value ends the evacuation.
+    /// Decodes a data centre's evacuation in a record of [`Topic::Operator`]. Returns `None` for other
+    /// records. A record without a value ends the evacuation.
     fn decode_evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord>;
 
     /// Decodes a service's roll-out in a record of [`Topic::Operator`]. Returns `None` for other records.
@@ -257,8 +257,8 @@
     /// Reads the size of the requested generation from the request headers, if they state it.
     fn generation_size(&self, headers: &HeaderMap) -> Option<GenerationSize>;
 
-    /// Builds the request that copies the memory of the run `request_id` to the engine at `to`. With `is_final`,
-    /// the run stops before the copy.
+    /// Builds the request that copies the memory of the run `request_id` to the engine at `to`. With
+    /// `is_final`, the run stops before the copy.
     fn copy_request(&self, request_id: &str, to: SocketAddr, is_final: bool) -> InternalRequest;
 
     /// Decodes the response to [`Protocol::copy_request`].
--- a/src/gateway/rendezvous.rs
+++ b/src/gateway/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing: assigns each task to one of several members without coordination.
 //!
-//! The member with the highest weight for a task performs it. Members that know the same set choose the same one,
-//! and the tasks are spread over all members.
+//! The member with the highest weight for a task performs it. Members that know the same set choose the same
+//! one, and the tasks are spread over all members.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/gateway/ticks/tests.rs
+++ b/src/gateway/ticks/tests.rs
@@ -5,8 +5,8 @@
 
 use super::first_tick_after;
 
-// Guards against periodic tasks that each wake the process on their own: a dozen of them caused forty wake-ups
-// a second.
+// Guards against periodic tasks that each wake the process on their own: a dozen of them caused forty
+// wake-ups a second.
 #[test]
 fn periodic_tasks_of_a_host_wake_together() {
     let started = Instant::now();
