--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -68,16 +68,16 @@
 
 impl Route {
     /// The service for a request, where `draw` is a random number.
-    pub fn service(&self, draw: u32) -> Option<&ServiceId> {
+    pub fn choose_service(&self, draw: u32) -> Option<&ServiceId> {
         let weights = self.targets.iter().map(|target| u64::from(target.weight));
         let total: u64 = weights.sum();
-        let mut left = u64::from(draw).checked_rem(total)?;
+        let mut remaining = u64::from(draw).checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/src/gateway/route/tests.rs
+++ b/src/gateway/route/tests.rs
@@ -38,34 +38,41 @@
     ])
 }
 
-fn found(host: &str, path: &str) -> Option<String> {
+fn find_name(host: &str, path: &str) -> Option<String> {
     table().find(host, path).map(|route| route.name.clone())
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    assert_eq!(found("a.example", "/nets/urgent/7"), Some("urgent".into()));
-    assert_eq!(found("a.example", "/nets/7"), Some("nets".into()));
-    assert_eq!(found("a.example", "/nets"), Some("all".into()));
-    assert_eq!(found("b.example", "/nets/7"), Some("other".into()));
+    assert_eq!(
+        find_name("a.example", "/nets/urgent/7"),
+        Some("urgent".into())
+    );
+    assert_eq!(find_name("a.example", "/nets/7"), Some("nets".into()));
+    assert_eq!(find_name("a.example", "/nets"), Some("all".into()));
+    assert_eq!(find_name("b.example", "/nets/7"), Some("other".into()));
 }
 
 #[test]
 fn the_host_is_compared_without_port_and_case() {
-    assert_eq!(found("A.Example:8080", "/nets/7"), Some("nets".into()));
+    assert_eq!(find_name("A.Example:8080", "/nets/7"), Some("nets".into()));
 }
 
 #[test]
 fn what_no_route_matches_is_not_found() {
-    assert_eq!(found("b.example", "/rakes/7"), None);
-    assert_eq!(found("c.example", "/nets/7"), None);
+    assert_eq!(find_name("b.example", "/rakes/7"), None);
+    assert_eq!(find_name("c.example", "/nets/7"), None);
 }
 
 #[test]
 fn targets_share_draws_by_weight() {
     let route = route("nets", "a.example", "/");
     let nets = (0..400)
-        .filter(|draw| route.service(*draw).is_some_and(|s| s.as_str() == "nets"))
+        .filter(|draw| {
+            route
+                .choose_service(*draw)
+                .is_some_and(|s| s.as_str() == "nets")
+        })
         .count();
 
     assert_eq!(nets, 300);
@@ -76,5 +83,5 @@
     let mut route = route("nets", "a.example", "/");
     route.targets.clear();
 
-    assert_eq!(route.service(7), None);
+    assert_eq!(route.choose_service(7), None);
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -431,7 +431,7 @@
         .and_then(|value| value.to_str().ok())
         .or_else(|| http.uri().host())?;
     let route = configuration.routes.find(host, http.uri().path())?;
-    let service = route.service(rand::random())?;
+    let service = route.choose_service(rand::random())?;
     Some((route.clone(), service.clone()))
 }
 
