--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -290,7 +290,7 @@
     let status = StatusCode::from_u16(head.status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     let mut headers = HeaderMap::new();
-    forward::copy_end_to_end(&head.headers, &mut headers, |_| false);
+    forward::copy_end_to_end_headers(&head.headers, &mut headers, |_| false);
     for (name, value) in &headers {
         response.append_header((name.as_str(), value.as_bytes()));
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -63,7 +63,7 @@
         return Err(SendError::NotRun(reason));
     }
     let names = shared.protocol().headers();
-    let request = forward::towards_upstream(&admitted.request, names, headers);
+    let request = forward::upstream_request(&admitted.request, names, headers);
     let upstream = &headers.upstream.id;
     let sent_at = shared.now();
     let response = match connection.send(request).await {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -18,7 +18,7 @@
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), or that each side writes
 /// itself.
-const OF_ONE_CONNECTION: [HeaderName; 10] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -46,13 +46,13 @@
 
 impl CallerRequest {
     /// The text of a header, or nothing.
-    pub fn text(&self, name: &HeaderName) -> Option<&str> {
+    pub fn header_text(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
 /// The headers of an actix request. Both libraries take the same names and values.
-pub fn headers_of(http: &HttpRequest) -> HeaderMap {
+pub fn convert_headers(http: &HttpRequest) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(http.headers().len());
     for (name, value) in http.headers() {
         let name = HeaderName::from_bytes(name.as_str().as_bytes());
@@ -80,7 +80,7 @@
 }
 
 /// The request as it goes to an upstream.
-pub fn towards_upstream(
+pub fn upstream_request(
     request: &CallerRequest,
     names: &HeaderNames,
     attempt: &AttemptHeaders<'_>,
@@ -89,14 +89,14 @@
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.target.parse().unwrap_or_default();
     let headers = outgoing.headers_mut();
-    copy_end_to_end(&request.headers, headers, |name| is_ours(names, name));
-    set_attempt(headers, names, attempt);
+    copy_end_to_end_headers(&request.headers, headers, |name| is_reserved(names, name));
+    set_attempt_headers(headers, names, attempt);
     outgoing
 }
 
 /// Whether callers may not set a header, because the system does or because it names a key.
-fn is_ours(names: &HeaderNames, name: &HeaderName) -> bool {
-    let set_here = [
+fn is_reserved(names: &HeaderNames, name: &HeaderName) -> bool {
+    let set_by_gateway = [
         &header::AUTHORIZATION,
         &names.deadline_ms,
         &names.customer,
@@ -104,19 +104,19 @@
         &names.priority,
         &names.continue_from,
     ];
-    set_here.contains(&name) || names.reserved.contains(name)
+    set_by_gateway.contains(&name) || names.reserved.contains(name)
 }
 
-fn set_attempt(headers: &mut HeaderMap, names: &HeaderNames, attempt: &AttemptHeaders<'_>) {
+fn set_attempt_headers(headers: &mut HeaderMap, names: &HeaderNames, attempt: &AttemptHeaders<'_>) {
     let left_ms = u64::try_from(attempt.time_left.as_millis()).unwrap_or(u64::MAX);
     headers.insert(&names.deadline_ms, HeaderValue::from(left_ms));
-    insert_text(
+    insert_header(
         headers,
         &names.expected_instance,
         attempt.upstream.id.as_str(),
     );
     if let Some(customer) = attempt.customer {
-        insert_text(headers, &names.customer, customer.as_str());
+        insert_header(headers, &names.customer, customer.as_str());
     }
     if let Some(priority) = attempt.priority {
         headers.insert(&names.priority, HeaderValue::from(u16::from(priority)));
@@ -128,7 +128,7 @@
 }
 
 /// Names come from configurations that were checked when they were read.
-fn insert_text(headers: &mut HeaderMap, name: &HeaderName, text: &str) {
+fn insert_header(headers: &mut HeaderMap, name: &HeaderName, text: &str) {
     match HeaderValue::from_str(text) {
         Ok(value) => {
             headers.insert(name, value);
@@ -137,13 +137,13 @@
     }
 }
 
-/// Copies headers but those of one connection and those that `left_out` names.
-pub fn copy_end_to_end(
+/// Copies headers but those of one connection and those that `is_excluded` names.
+pub fn copy_end_to_end_headers(
     from: &HeaderMap,
     to: &mut HeaderMap,
-    left_out: impl Fn(&HeaderName) -> bool,
+    is_excluded: impl Fn(&HeaderName) -> bool,
 ) {
-    let named = from
+    let connection_options = from
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -151,9 +151,11 @@
         .map(|option| option.trim().to_ascii_lowercase())
         .collect::<Vec<String>>();
     for (name, value) in from {
-        let one_connection =
-            OF_ONE_CONNECTION.contains(name) || named.iter().any(|option| option == name.as_str());
-        if !one_connection && !left_out(name) {
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name)
+            || connection_options
+                .iter()
+                .any(|option| option == name.as_str());
+        if !is_hop_by_hop && !is_excluded(name) {
             to.append(name, value.clone());
         }
     }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -324,7 +324,7 @@
     shared.check_suspension();
     let arrived = Instant::now();
     let pass = shared.gate().enter(RequestId::generate());
-    let headers = forward::headers_of(http);
+    let headers = forward::convert_headers(http);
     let request = CallerRequest {
         method: http::Method::from_bytes(http.method().as_str().as_bytes()).unwrap_or_default(),
         target: request_target(http),
@@ -332,7 +332,10 @@
         body: Bytes::new(),
     };
     let names = shared.protocol().headers();
-    let id = request.text(&names.request_id).unwrap_or("").to_owned();
+    let id = request
+        .header_text(&names.request_id)
+        .unwrap_or("")
+        .to_owned();
     let reject = |refusal: Refusal| reject(shared, &id, &request, &refusal);
     let caller_timeout = caller_timeout(&request, names);
     joining::wait_until_initialized(shared, caller_timeout).await;
@@ -399,7 +402,7 @@
     Fingerprint::of(&Content {
         customer,
         method: request.method.as_str(),
-        authority: request.text(&header::HOST).unwrap_or(""),
+        authority: request.header_text(&header::HOST).unwrap_or(""),
         target: &request.target,
         body: &request.body,
     })
@@ -445,7 +448,7 @@
 }
 
 fn caller_timeout(request: &CallerRequest, names: &HeaderNames) -> Duration {
-    let header = request.text(&names.deadline_ms);
+    let header = request.header_text(&names.deadline_ms);
     let timeout_ms = header.and_then(|text| text.trim().parse::<f64>().ok());
     let timeout_ms = timeout_ms.filter(|ms| ms.is_finite() && *ms >= 0.0);
     timeout_ms.map_or(Duration::MAX, request_time)
