--- a/src/gateway/configfetch.rs
+++ b/src/gateway/configfetch.rs
@@ -31,7 +31,7 @@
 use crate::gateway::document::catchup::Step;
 use crate::gateway::document::frames;
 use crate::gateway::document::frames::FrameReader;
-use crate::gateway::ownclient::Arrival;
+use crate::gateway::internalclient::ResponsePart;
 use crate::gateway::peerfetch::FETCH_TIMEOUT;
 use crate::gateway::peerfetch::PeerClient;
 use crate::gateway::peerfetch::SEED_TIMEOUT;
@@ -264,7 +264,7 @@
         };
         let mut receiver = PieceReceiver::new(assembly, missing);
         let watch = |arrival| receiver.receive(arrival);
-        let status = self.source.call_watched(&call, watch).await;
+        let status = self.source.call_streaming(&call, watch).await;
         match (status, receiver.fault) {
             (Ok(200), None) => Ok(Outcome::Complete),
             (Ok(503), _) => Ok(Outcome::Busy),
@@ -317,8 +317,8 @@
         }
     }
 
-    fn receive(&mut self, arrival: Arrival) {
-        let Arrival::Body(bytes) = arrival else {
+    fn receive(&mut self, arrival: ResponsePart) {
+        let ResponsePart::Body(bytes) = arrival else {
             return;
         };
         self.frames.push(&bytes);
--- a/src/gateway/enginepoll.rs
+++ b/src/gateway/enginepoll.rs
@@ -14,7 +14,7 @@
 use crate::event::EventCode;
 use crate::gateway::directory::Upstream;
 use crate::gateway::instance::InstanceId;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::protocol::EngineReport;
 use crate::gateway::protocol::Topic;
 use crate::gateway::rendezvous;
@@ -65,7 +65,7 @@
 
 async fn poll(shared: &Shared, engine: &Upstream) {
     let call = shared.protocol().report_request();
-    let mut client = OwnClient::new(engine.address);
+    let mut client = InternalClient::new(engine.address);
     match client.call(&call, POLL_TIMEOUT).await {
         Ok((200, body)) => handle_report(shared, engine, &body),
         Ok((status, _)) => log_missing_report(shared, engine, &format!("status {status}")),
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -15,10 +15,10 @@
 use crate::error::Result;
 use crate::event::EventCode;
 use crate::gateway::directory::Upstream;
+use crate::gateway::internalclient::InternalClient;
+use crate::gateway::internalclient::InternalResponse;
+use crate::gateway::internalclient::ResponsePart;
 use crate::gateway::joining::SeedState;
-use crate::gateway::ownclient::Arrival;
-use crate::gateway::ownclient::OwnAnswer;
-use crate::gateway::ownclient::OwnClient;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::InternalRequest;
 use crate::gateway::protocol::Record;
@@ -92,7 +92,7 @@
 /// Follows one topic for ever.
 pub async fn follow(shared: Shared, topic: Topic) {
     let mut follower = Follower {
-        client: OwnClient::new(shared.settings().log_address),
+        client: InternalClient::new(shared.settings().log_address),
         shared,
         topic,
         next: None,
@@ -170,7 +170,7 @@
 
 struct Follower {
     shared: Shared,
-    client: OwnClient,
+    client: InternalClient,
     topic: Topic,
     next: Option<Position>,
 }
@@ -337,7 +337,7 @@
         &mut self,
         call: &InternalRequest,
         timeout: Duration,
-    ) -> Result<(OwnAnswer, Duration)> {
+    ) -> Result<(InternalResponse, Duration)> {
         let began = Instant::now();
         let mut head_after = Duration::ZERO;
         let mut headers = HeaderMap::new();
@@ -347,15 +347,15 @@
         let watch = |arrival| {
             shared.record_log_progress(topic);
             match arrival {
-                Arrival::Head(head) => {
+                ResponsePart::Head(head) => {
                     head_after = began.elapsed();
                     headers = head;
                 }
-                Arrival::Body(bytes) => body.extend_from_slice(&bytes),
+                ResponsePart::Body(bytes) => body.extend_from_slice(&bytes),
             }
         };
-        let status = self.client.call_watched(call, timeout, watch).await?;
-        let answer = OwnAnswer {
+        let status = self.client.call_streaming(call, timeout, watch).await?;
+        let answer = InternalResponse {
             status,
             headers,
             body: body.freeze(),
--- a/src/gateway/follow/calls.rs
+++ b/src/gateway/follow/calls.rs
@@ -9,7 +9,7 @@
 use super::ReadResult;
 use crate::error::Error;
 use crate::error::Result;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::Record;
@@ -31,7 +31,7 @@
 /// history of the log.
 pub(crate) async fn read_newest(
     shared: &Shared,
-    client: &mut OwnClient,
+    client: &mut InternalClient,
     topic: Topic,
     timeout: Duration,
 ) -> ReadResult<(Vec<Record>, Position)> {
@@ -40,7 +40,7 @@
     loop {
         let after = records.last().map(|record| record.key.clone());
         let call = shared.protocol().newest_request(topic, after.as_deref());
-        let answer = client.call_whole(&call, timeout).await?;
+        let answer = client.call_full(&call, timeout).await?;
         let era = check_era(shared, &answer.headers)?;
         if answer.status != 200 {
             return Err(ReadError::Unavailable(format!("status {}", answer.status)));
@@ -67,7 +67,7 @@
 /// [`Error::Remote`] if the log doesn't answer, or refuses it.
 pub(crate) async fn append(
     shared: &Shared,
-    client: &mut OwnClient,
+    client: &mut InternalClient,
     topic: Topic,
     key: &str,
     value: &[u8],
@@ -86,7 +86,7 @@
 /// [`Error::Remote`] if the log doesn't answer, or refuses it.
 pub(crate) async fn append_if_end(
     shared: &Shared,
-    client: &mut OwnClient,
+    client: &mut InternalClient,
     topic: Topic,
     (key, value): (&str, &[u8]),
     end: Position,
--- a/src/gateway/hostlisting.rs
+++ b/src/gateway/hostlisting.rs
@@ -7,7 +7,7 @@
 use crate::gateway::follow::CALL_TIMEOUT;
 use crate::gateway::follow::append;
 use crate::gateway::follow::read_newest;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::position::Era;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
@@ -25,7 +25,7 @@
 /// Hosts that start find the others by their seeds. Only if those are gone do they need the list,
 /// and then one living host in it is enough; so a few hosts list themselves, not all.
 pub async fn run(shared: Shared) {
-    let mut client = OwnClient::new(shared.settings().log_address);
+    let mut client = InternalClient::new(shared.settings().log_address);
     let mut listed_in: Option<Era> = None;
     let mut learnt_at: Option<Instant> = None;
     loop {
@@ -48,7 +48,7 @@
 
 /// Whether the log took this host's record. Appending it twice is harmless: the newest of a key
 /// counts.
-async fn list_host(shared: &Shared, client: &mut OwnClient) -> bool {
+async fn list_host(shared: &Shared, client: &mut InternalClient) -> bool {
     let own = shared.gossip_address().to_string();
     let value = shared.settings().host.as_str().as_bytes();
     let appended = append(shared, client, Topic::Hosts, &own, value).await;
@@ -58,7 +58,7 @@
     appended.is_ok()
 }
 
-async fn learn_hosts(shared: &Shared, client: &mut OwnClient) {
+async fn learn_hosts(shared: &Shared, client: &mut InternalClient) {
     match read_newest(shared, client, Topic::Hosts, CALL_TIMEOUT).await {
         Ok((records, _)) => {
             let listed = records.iter().filter(|record| record.value.is_some());
--- a/src/gateway/ownclient.rs
+++ b/src/gateway/internalclient.rs
@@ -25,7 +25,7 @@
 /// Each connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Largest answer: a configuration of many routes fits.
-const ANSWER_BYTES_MAX: usize = 32 << 20;
+const RESPONSE_BYTES_MAX: usize = 32 << 20;
 /// An answer that has begun is given up when nothing more of it arrives for so long: some round trips of
 /// the farthest data centre and a lost packet sent again.
 const STALL_MAX: Duration = Duration::from_millis(500);
@@ -34,7 +34,7 @@
 
 /// What arrives of an answer.
 #[derive(Debug)]
-pub(crate) enum Arrival {
+pub(crate) enum ResponsePart {
     /// Its headers.
     Head(HeaderMap),
     /// Bytes of its body, in order.
@@ -43,7 +43,7 @@
 
 /// An answer to a call of our own.
 #[derive(Debug)]
-pub(crate) struct OwnAnswer {
+pub(crate) struct InternalResponse {
     /// Its status.
     pub(crate) status: u16,
     /// Its headers.
@@ -54,15 +54,15 @@
 
 /// Makes calls to one address, one at a time, over a connection that is kept.
 #[derive(Debug)]
-pub struct OwnClient {
+pub struct InternalClient {
     address: SocketAddr,
     connection: Option<Connection>,
 }
 
-impl OwnClient {
+impl InternalClient {
     /// A client that connects with its first call.
     pub fn new(address: SocketAddr) -> Self {
-        OwnClient {
+        InternalClient {
             address,
             connection: None,
         }
@@ -78,7 +78,7 @@
         call: &InternalRequest,
         timeout: Duration,
     ) -> Result<(u16, Bytes)> {
-        let answer = self.call_whole(call, timeout).await?;
+        let answer = self.call_full(call, timeout).await?;
         Ok((answer.status, answer.body))
     }
 
@@ -87,27 +87,27 @@
     /// # Errors
     ///
     /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
-    pub(crate) async fn call_whole(
+    pub(crate) async fn call_full(
         &mut self,
         call: &InternalRequest,
         timeout: Duration,
-    ) -> Result<OwnAnswer> {
+    ) -> Result<InternalResponse> {
         let mut headers = HeaderMap::new();
         let mut body = BytesMut::new();
         let status = self
-            .call_watched(call, timeout, |arrival| match arrival {
-                Arrival::Head(head) => headers = head,
-                Arrival::Body(bytes) => body.extend_from_slice(&bytes),
+            .call_streaming(call, timeout, |part| match part {
+                ResponsePart::Head(head) => headers = head,
+                ResponsePart::Body(bytes) => body.extend_from_slice(&bytes),
             })
             .await?;
-        Ok(OwnAnswer {
+        Ok(InternalResponse {
             status,
             headers,
             body: body.freeze(),
         })
     }
 
-    /// Makes a call; answers with the status, and has `watch` see what arrives as it does.
+    /// Makes a call; answers with the status, and has `on_part` see what arrives as it does.
     ///
     /// An answer has `timeout` to begin. How long it may last is told by what arrives: a configuration of
     /// 600 KB takes a link of 10 Mbit/s half a second, and with a timeout for the whole of it sixty hosts
@@ -116,29 +116,29 @@
     /// # Errors
     ///
     /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
-    pub(crate) async fn call_watched(
+    pub(crate) async fn call_streaming(
         &mut self,
         call: &InternalRequest,
         timeout: Duration,
-        watch: impl FnMut(Arrival),
+        on_part: impl FnMut(ResponsePart),
     ) -> Result<u16> {
         let connection = self.connection.take().filter(Connection::is_usable);
-        let begins = tokio::time::timeout(timeout, begin(self.address, connection, call));
-        let (connection, response) = match begins.await {
-            Ok(begun) => begun.map_err(|reason| self.remote(reason))?,
+        let sending = tokio::time::timeout(timeout, send_request(self.address, connection, call));
+        let (connection, response) = match sending.await {
+            Ok(sent) => sent.map_err(|reason| self.remote_error(reason))?,
             Err(_) => {
                 let timeout_ms = timeout.as_millis();
-                return Err(self.remote(format!("no answer in {timeout_ms} ms")));
+                return Err(self.remote_error(format!("no answer in {timeout_ms} ms")));
             }
         };
         let status = response.status().as_u16();
-        let arriving = receive(response, watch).await;
-        arriving.map_err(|reason| self.remote(reason))?;
+        let read = read_body(response, on_part).await;
+        read.map_err(|reason| self.remote_error(reason))?;
         self.connection = Some(connection);
         Ok(status)
     }
 
-    fn remote(&self, reason: String) -> Error {
+    fn remote_error(&self, reason: String) -> Error {
         Error::Remote {
             peer: self.address.to_string(),
             reason,
@@ -147,7 +147,7 @@
 }
 
 /// Sends a call and waits for the head of its answer.
-async fn begin(
+async fn send_request(
     address: SocketAddr,
     connection: Option<Connection>,
     call: &InternalRequest,
@@ -158,7 +158,7 @@
             .await
             .map_err(|failure| failure.reason().to_owned())?,
     };
-    let request = request_of(address, call).map_err(|error| error.to_string())?;
+    let request = build_request(address, call).map_err(|error| error.to_string())?;
     let response = connection
         .send(request)
         .await
@@ -167,47 +167,51 @@
 }
 
 /// Receives a body for as long as it makes progress.
-async fn receive(
+async fn read_body(
     response: Response<Incoming>,
-    mut watch: impl FnMut(Arrival),
+    mut on_part: impl FnMut(ResponsePart),
 ) -> std::result::Result<(), String> {
-    let began = Instant::now();
+    let started = Instant::now();
     let (head, body) = response.into_parts();
-    let mut body = Limited::new(body, ANSWER_BYTES_MAX);
-    let due_bytes = body.size_hint().exact();
-    let mut got_bytes = 0;
-    watch(Arrival::Head(head.headers));
+    let mut body = Limited::new(body, RESPONSE_BYTES_MAX);
+    let expected_bytes = body.size_hint().exact();
+    let mut received_bytes = 0;
+    on_part(ResponsePart::Head(head.headers));
     loop {
-        let next = tokio::time::timeout_at(next_is_due(began, got_bytes), body.frame());
+        let next =
+            tokio::time::timeout_at(next_frame_deadline(started, received_bytes), body.frame());
         let Ok(frame) = next.await else {
-            return Err(broken_off(began, got_bytes, due_bytes));
+            return Err(stall_message(started, received_bytes, expected_bytes));
         };
         let Some(frame) = frame else {
             return Ok(());
         };
         let frame = frame.map_err(|error| error.to_string())?;
         if let Ok(bytes) = frame.into_data() {
-            got_bytes += bytes.len() as u64;
-            watch(Arrival::Body(bytes));
+            received_bytes += bytes.len() as u64;
+            on_part(ResponsePart::Body(bytes));
         }
     }
 }
 
-/// When the next bytes must have arrived of a body that began to arrive at `began`.
-fn next_is_due(began: Instant, got_bytes: u64) -> Instant {
-    let lasts_at_most = Duration::from_secs_f64(got_bytes as f64 / BYTES_PER_S_MIN);
-    (Instant::now() + STALL_MAX).min(began + STALL_MAX + lasts_at_most)
+/// When the next bytes must have arrived of a body that started to arrive at `started`.
+fn next_frame_deadline(started: Instant, received_bytes: u64) -> Instant {
+    let transfer_time_max = Duration::from_secs_f64(received_bytes as f64 / BYTES_PER_S_MIN);
+    (Instant::now() + STALL_MAX).min(started + STALL_MAX + transfer_time_max)
 }
 
-fn broken_off(began: Instant, got_bytes: u64, due_bytes: Option<u64>) -> String {
-    let ms = began.elapsed().as_millis();
-    match due_bytes {
-        Some(due) => format!("{got_bytes} of {due} bytes in {ms} ms, then nothing"),
-        None => format!("{got_bytes} bytes in {ms} ms, then nothing"),
+fn stall_message(started: Instant, received_bytes: u64, expected_bytes: Option<u64>) -> String {
+    let ms = started.elapsed().as_millis();
+    match expected_bytes {
+        Some(due) => format!("{received_bytes} of {due} bytes in {ms} ms, then nothing"),
+        None => format!("{received_bytes} bytes in {ms} ms, then nothing"),
     }
 }
 
-fn request_of(address: SocketAddr, call: &InternalRequest) -> http::Result<Request<Full<Bytes>>> {
+fn build_request(
+    address: SocketAddr,
+    call: &InternalRequest,
+) -> http::Result<Request<Full<Bytes>>> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
--- a/src/gateway/migration.rs
+++ b/src/gateway/migration.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::gateway::directory::Upstream;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::protocol::MemoryCopy;
 use crate::gateway::shared::Shared;
 
@@ -57,7 +57,7 @@
     let call = shared
         .protocol()
         .copy_request(request_id, to.address, is_final);
-    let mut client = OwnClient::new(source.address);
+    let mut client = InternalClient::new(source.address);
     let (status, body) = client
         .call(&call, COPY_TIMEOUT)
         .await
--- a/src/gateway/peerfetch.rs
+++ b/src/gateway/peerfetch.rs
@@ -25,8 +25,8 @@
 use crate::gateway::document::catchup::Holder;
 use crate::gateway::document::catchup::Step;
 use crate::gateway::evacuations::AnnouncedEvacuations;
-use crate::gateway::ownclient::Arrival;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
+use crate::gateway::internalclient::ResponsePart;
 use crate::gateway::peers::Fetch;
 use crate::gateway::position::Era;
 use crate::gateway::position::Position;
@@ -351,7 +351,7 @@
 
 /// Asks one peer for pages.
 pub(crate) struct PeerClient {
-    client: OwnClient,
+    client: InternalClient,
     /// Its address.
     pub(crate) peer: SocketAddr,
     /// Time for an answer to begin.
@@ -361,7 +361,7 @@
 impl PeerClient {
     pub(crate) fn new(peer: SocketAddr, timeout: Duration) -> Self {
         PeerClient {
-            client: OwnClient::new(peer),
+            client: InternalClient::new(peer),
             peer,
             timeout,
         }
@@ -384,12 +384,12 @@
     }
 
     /// Makes a call whose answer is seen as it arrives.
-    pub(crate) async fn call_watched(
+    pub(crate) async fn call_streaming(
         &mut self,
         call: &InternalRequest,
-        watch: impl FnMut(Arrival),
+        watch: impl FnMut(ResponsePart),
     ) -> Result<u16> {
-        self.client.call_watched(call, self.timeout, watch).await
+        self.client.call_streaming(call, self.timeout, watch).await
     }
 
     /// The peer answered with a status that it should not.
--- a/src/gateway/rolloutstatus.rs
+++ b/src/gateway/rolloutstatus.rs
@@ -17,7 +17,7 @@
 use crate::gateway::follow::ReadError;
 use crate::gateway::follow::append_if_end;
 use crate::gateway::follow::read_newest;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::position::Position;
 use crate::gateway::protocol::RolloutState;
 use crate::gateway::protocol::RolloutStatus;
@@ -47,7 +47,7 @@
 /// Checks all open rollouts for due steps, and takes them. Never returns.
 pub async fn run(shared: Shared) {
     let mut reporter = StatusReporter {
-        client: OwnClient::new(shared.settings().log_address),
+        client: InternalClient::new(shared.settings().log_address),
         shared: shared.clone(),
         reported: BTreeMap::new(),
         due_since: BTreeMap::new(),
@@ -74,7 +74,7 @@
 
 struct StatusReporter {
     shared: Shared,
-    client: OwnClient,
+    client: InternalClient,
     /// The state last known to be reported of each order.
     reported: BTreeMap<Position, RolloutState>,
     /// When this host first found each step due.
--- a/src/gateway/suspectlog.rs
+++ b/src/gateway/suspectlog.rs
@@ -20,7 +20,7 @@
 use crate::gateway::follow::append;
 use crate::gateway::follow::read_newest;
 use crate::gateway::instance::InstanceKey;
-use crate::gateway::ownclient::OwnClient;
+use crate::gateway::internalclient::InternalClient;
 use crate::gateway::protocol::Record;
 use crate::gateway::protocol::Topic;
 use crate::gateway::shared::Shared;
@@ -94,7 +94,7 @@
 
 /// Writes new evidence and reads that of other hosts. Never returns.
 pub async fn run(shared: Shared) {
-    let mut client = OwnClient::new(shared.settings().log_address);
+    let mut client = InternalClient::new(shared.settings().log_address);
     let mut unwritten: Vec<Fingerprint> = Vec::new();
     let mut schedule = ReadSchedule::default();
     tokio::time::sleep(START_DELAY).await;
@@ -145,7 +145,11 @@
 }
 
 /// Writes the evidence that this host has gathered. Failed writes are retried in a later round.
-async fn write_pending(shared: &Shared, client: &mut OwnClient, unwritten: &mut Vec<Fingerprint>) {
+async fn write_pending(
+    shared: &Shared,
+    client: &mut InternalClient,
+    unwritten: &mut Vec<Fingerprint>,
+) {
     let crashes_min = match longest_silence(shared) {
         Some(_) => 1,
         None => WRITE_CRASHES_MIN,
@@ -167,7 +171,11 @@
     }
 }
 
-async fn write(shared: &Shared, client: &mut OwnClient, suspect: &AnnouncedSuspect) -> Result<()> {
+async fn write(
+    shared: &Shared,
+    client: &mut InternalClient,
+    suspect: &AnnouncedSuspect,
+) -> Result<()> {
     let host = &shared.settings().host;
     let key = format!("{}@{host}", suspect.fingerprint.to_hex());
     let value = serde_json::to_vec(&StoredSuspect::new(suspect, wall_ms()))?;
@@ -176,7 +184,7 @@
 
 /// Merges the evidence that other hosts have written and removes expired records. Returns whether the log
 /// answered.
-async fn read_topic(shared: &Shared, client: &mut OwnClient) -> bool {
+async fn read_topic(shared: &Shared, client: &mut InternalClient) -> bool {
     let records = match read_newest(shared, client, Topic::Suspects, CALL_TIMEOUT).await {
         Ok((records, _)) => records,
         Err(error) => {
