--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service a request goes to, by host and longest path prefix.
+//! Routing of requests to services by host and longest path prefix.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -8,19 +8,19 @@
 use crate::id::RegionId;
 use crate::id::ServiceId;
 
-/// What may be repeated of a route's requests, and how they are answered.
+/// Whether a route's requests may be repeated, and the form of their responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
     Once,
-    /// Runs at most once and answers with a stream of events.
+    /// Runs at most once and returns a stream of events.
     Stream,
 }
 
 impl RouteKind {
-    /// The kind's name in logs.
+    /// Returns the kind's name in logs.
     pub const fn name(self) -> &'static str {
         match self {
             RouteKind::Idempotent => "idempotent",
@@ -30,44 +30,45 @@
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a weighted share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The service.
+    /// Service that receives the requests.
     pub service: ServiceId,
-    /// Its weight among the route's targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// One route.
+/// Maps requests with a host and path prefix to services, and states how to handle them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name in the configuration.
     pub name: String,
-    /// The host that callers name, without a port, in lower case.
+    /// Host of the requests, in lower case and without a port.
     pub host: String,
-    /// The path's prefix; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and the form of their responses.
     pub kind: RouteKind,
-    /// The longest time a request may be kept without its final answer.
+    /// Time limit for the final response to a request.
     pub timeout: Duration,
-    /// The time within which an answer is on time.
+    /// Latency objective: a response within this time counts as on time.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that share the requests by weight.
     pub targets: Vec<Target>,
-    /// Upstreams that one request may be sent to, at most.
+    /// Maximum number of upstreams that one request is sent to.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
-    /// The regions in which its requests may run; none where they may run anywhere.
+    /// Regions in which requests may run, or `None` for no restriction.
     pub regions: Option<BTreeSet<RegionId>>,
 }
 
 impl Route {
-    /// The service for a request, where `draw` is a random number.
+    /// Chooses the service for a request by weight, with `draw` as the random number. Returns `None` if the
+    /// weights add up to zero.
     pub fn choose_service(&self, draw: u32) -> Option<&ServiceId> {
         let weights = self.targets.iter().map(|target| u64::from(target.weight));
         let total: u64 = weights.sum();
@@ -83,14 +84,14 @@
     }
 }
 
-/// All routes of a configuration.
+/// The routes of a configuration, grouped by host.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of `routes`.
+    /// Creates a table of `routes`, whose hosts may be in any case.
     pub fn new(routes: Vec<Route>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -103,7 +104,8 @@
         RouteTable { by_host }
     }
 
-    /// The route of the longest prefix of `path` at `host`, which may name a port.
+    /// Returns the route of `host` with the longest matching prefix of `path`. `host` may include a port and
+    /// is compared without case.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
         let routes = match self.by_host.get(name) {
@@ -115,12 +117,12 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Number of routes.
+    /// Returns the number of routes of all hosts.
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
--- a/src/gateway/route/tests.rs
+++ b/src/gateway/route/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_no_route_matches_is_not_found() {
+fn an_unknown_path_or_host_has_no_route() {
     assert_eq!(find_name("b.example", "/rakes/7"), None);
     assert_eq!(find_name("c.example", "/nets/7"), None);
 }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_route_without_targets_names_no_service() {
+fn a_route_without_targets_has_no_service() {
     let mut route = route("nets", "a.example", "/");
     route.targets.clear();
 
