--- a/src/gateway/configuration.rs
+++ b/src/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, as the platform's operators publish it.
+//! The gateway's configuration, as published by the platform's operators.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -10,77 +10,76 @@
 use crate::id::RegionId;
 use crate::id::ServiceId;
 
-/// What is known of the engines of a service.
+/// Properties of a service's engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens that the engine's memory holds.
+    /// Capacity of the engine's memory, in tokens.
     pub memory_tokens: u32,
-    /// Whether a running generation's memory can be copied to another engine.
+    /// Whether the memory of a running generation can be copied to another engine.
     pub moves: bool,
-    /// Tokens of one event of a stream.
+    /// Number of tokens in each event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// A service that routes name.
+/// Limits and engine properties of a service that routes refer to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceSpec {
-    /// Connections that one upstream accepts from all callers together.
+    /// Maximum number of connections that one upstream accepts, over all of its clients.
     pub connections_max: u32,
-    /// Requests that one upstream bears in a second while it is cold, of all callers together; none where
-    /// there is no bound.
+    /// Maximum request rate of one upstream while it is cold, over all of its clients, or `None` for no limit.
     pub cold_requests_per_s: Option<f64>,
-    /// Present where the service runs generations.
+    /// Properties of the engines, or `None` if the service doesn't run generations.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds of what callers may send.
+/// Size limits for requests of clients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// All headers of a request together, in bytes.
+    /// Maximum total size of a request's headers, in bytes.
     pub header_bytes_max: usize,
-    /// A request's body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes_max: usize,
 }
 
 /// The customer that a key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// The customer's name, which is passed to upstreams.
     pub name: CustomerId,
-    /// Its rank, which goes before the route's.
+    /// Priority, which overrides the route's.
     pub priority: Option<u8>,
-    /// The regions in which its requests may run; none where they may run anywhere.
+    /// Regions in which the customer's requests may run, or `None` for no restriction.
     pub regions: Option<BTreeSet<RegionId>>,
 }
 
-/// One version of the configuration. Never changed once it is in force.
+/// One version of the configuration. Immutable once it is in force.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// Rises with each configuration, in uneven steps.
+    /// Version, which increases with each configuration but may skip numbers.
     pub version: u64,
-    /// The routes.
+    /// Routes by host and path prefix.
     pub routes: RouteTable,
-    /// The services.
+    /// Services by name.
     pub services: HashMap<ServiceId, ServiceSpec>,
-    /// Bounds of what callers may send.
+    /// Size limits for requests of clients.
     pub limits: CallerLimits,
-    /// Customers by key; none where keys are not used.
+    /// Customers by key, or `None` if keys aren't used.
     pub customers: Option<HashMap<String, Arc<Customer>>>,
 }
 
 impl Configuration {
-    /// The engines of a service, if it runs generations.
+    /// Returns the properties of a service's engines, or `None` if it doesn't run generations.
     pub fn engine(&self, service: &ServiceId) -> Option<&EngineSpec> {
         self.services.get(service)?.engine.as_ref()
     }
 
-    /// Requests that one upstream of a service bears in a second while it is cold, if there is a bound.
+    /// Returns the maximum request rate of one cold upstream of a service, or `None` if there is no limit.
     pub fn cold_requests_per_s(&self, service: &ServiceId) -> Option<f64> {
         self.services.get(service)?.cold_requests_per_s
     }
 }
 
-/// Default timeout of a route that names none. Long enough for any call of a plain service.
+/// Timeout of a route that sets none: long enough for any call of a plain service.
 pub const ROUTE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(30);
