--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! What is passed on of a caller's request and of an upstream's answer.
+//! Forwarding of requests to upstreams, and of headers in both directions.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 use crate::gateway::protocol::HeaderNames;
 use crate::id::CustomerId;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), or that each side writes
-/// itself.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), or that each side sets itself. They
+/// aren't forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -31,27 +31,27 @@
     header::UPGRADE,
 ];
 
-/// A caller's request, read whole.
+/// A client's request with its complete body.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query as they came.
+    /// Path and query, as received.
     pub target: String,
-    /// All of its headers.
+    /// Headers of the request, including those that aren't forwarded.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl CallerRequest {
-    /// The text of a header, or nothing.
+    /// Returns the value of a header, or `None` if it is missing or isn't text.
     pub fn header_text(&self, name: &HeaderName) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// The headers of an actix request. Both libraries take the same names and values.
+/// Converts the headers of an actix request. Both libraries accept the same names and values.
 pub fn convert_headers(http: &HttpRequest) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(http.headers().len());
     for (name, value) in http.headers() {
@@ -64,22 +64,22 @@
     headers
 }
 
-/// What the gateway sets on one attempt.
+/// Values of the headers that the gateway sets on one attempt.
 #[derive(Debug, Clone)]
 pub struct AttemptHeaders<'a> {
-    /// Where it goes.
+    /// Upstream that the attempt is sent to.
     pub upstream: &'a Upstream,
-    /// Time left.
+    /// Time until the request's deadline.
     pub time_left: Duration,
-    /// Whose it is.
+    /// Customer that made the request, if known.
     pub customer: Option<&'a CustomerId>,
-    /// Rank for the engine.
+    /// Priority for the engine.
     pub priority: Option<u8>,
-    /// Continue from this copy after that event.
+    /// Memory copy to continue from, and the last event that was already received.
     pub continue_from: Option<(HeaderValue, u64)>,
 }
 
-/// The request as it goes to an upstream.
+/// Builds the request that is sent to an upstream.
 pub fn upstream_request(
     request: &CallerRequest,
     names: &HeaderNames,
@@ -94,7 +94,7 @@
     outgoing
 }
 
-/// Whether callers may not set a header, because the system does or because it names a key.
+/// Returns whether a header isn't forwarded from clients, because the gateway sets it or it carries a key.
 fn is_reserved(names: &HeaderNames, name: &HeaderName) -> bool {
     let set_by_gateway = [
         &header::AUTHORIZATION,
@@ -127,17 +127,18 @@
     }
 }
 
-/// Names come from configurations that were checked when they were read.
+/// Inserts a header. Values are names from configurations that were validated when they were read, so an
+/// invalid one is only logged.
 fn insert_header(headers: &mut HeaderMap, name: &HeaderName, text: &str) {
     match HeaderValue::from_str(text) {
         Ok(value) => {
             headers.insert(name, value);
         }
-        Err(error) => log::warn!("{name} can't carry {text:?}: {error}"),
+        Err(error) => log::warn!("invalid value {text:?} for header {name}: {error}"),
     }
 }
 
-/// Copies headers but those of one connection and those that `is_excluded` names.
+/// Copies headers, except hop-by-hop headers and those for which `is_excluded` returns true.
 pub fn copy_end_to_end_headers(
     from: &HeaderMap,
     to: &mut HeaderMap,
