--- a/src/gateway/internalclient.rs
+++ b/src/gateway/internalclient.rs
@@ -1,4 +1,4 @@
-//! Calls that a host makes itself: to the platform's log, to peers and to engines.
+//! HTTP client for the gateway's own calls to the platform's log, to peers and to engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,37 +22,37 @@
 use crate::gateway::connection::ConnectionProfile;
 use crate::gateway::protocol::InternalRequest;
 
-/// Each connection attempt.
+/// Timeout of each connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Largest answer: a configuration of many routes fits.
+/// Maximum size of a response body. A configuration with many routes fits.
 const RESPONSE_BYTES_MAX: usize = 32 << 20;
-/// An answer that has begun is given up when nothing more of it arrives for so long: some round trips of
-/// the farthest data centre and a lost packet sent again.
+/// Maximum time without data in a response body. It covers several round trips to the farthest data centre
+/// and the retransmission of a lost packet.
 const STALL_MAX: Duration = Duration::from_millis(500);
-/// and when, after that time, it has come more slowly than this: a twentieth of a link of 10 Mbit/s.
+/// Minimum average rate of a response body after an initial [`STALL_MAX`]: a twentieth of a 10 Mbit/s link.
 const BYTES_PER_S_MIN: f64 = 64_000.0;
 
-/// What arrives of an answer.
+/// A part of a response, passed on as it arrives.
 #[derive(Debug)]
 pub(crate) enum ResponsePart {
-    /// Its headers.
+    /// The headers, which arrive first.
     Head(HeaderMap),
-    /// Bytes of its body, in order.
+    /// The next bytes of the body.
     Body(Bytes),
 }
 
-/// An answer to a call of our own.
+/// A complete response to a call.
 #[derive(Debug)]
 pub(crate) struct InternalResponse {
-    /// Its status.
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Its headers.
+    /// Headers of the response.
     pub(crate) headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub(crate) body: Bytes,
 }
 
-/// Makes calls to one address, one at a time, over a connection that is kept.
+/// Makes calls to one address, one at a time, over a persistent connection.
 #[derive(Debug)]
 pub struct InternalClient {
     address: SocketAddr,
@@ -60,7 +60,7 @@
 }
 
 impl InternalClient {
-    /// A client that connects with its first call.
+    /// Creates a client that connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         InternalClient {
             address,
@@ -68,25 +68,27 @@
         }
     }
 
-    /// Makes a call; answers with status and body.
+    /// Makes a call and returns the status and the body.
     ///
     /// # Errors
     ///
-    /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
+    /// [`Error::Remote`] if the head of the response doesn't arrive within `timeout`, or if the body ends
+    /// early or stalls.
     pub async fn call(
         &mut self,
         call: &InternalRequest,
         timeout: Duration,
     ) -> Result<(u16, Bytes)> {
-        let answer = self.call_full(call, timeout).await?;
-        Ok((answer.status, answer.body))
+        let response = self.call_full(call, timeout).await?;
+        Ok((response.status, response.body))
     }
 
-    /// Makes a call; answers with all that came back.
+    /// Makes a call and returns the complete response.
     ///
     /// # Errors
     ///
-    /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
+    /// [`Error::Remote`] if the head of the response doesn't arrive within `timeout`, or if the body ends
+    /// early or stalls.
     pub(crate) async fn call_full(
         &mut self,
         call: &InternalRequest,
@@ -107,15 +109,16 @@
         })
     }
 
-    /// Makes a call; answers with the status, and has `on_part` see what arrives as it does.
+    /// Makes a call, passes each part of the response to `on_part` as it arrives, and returns the status.
     ///
-    /// An answer has `timeout` to begin. How long it may last is told by what arrives: a configuration of
-    /// 600 KB takes a link of 10 Mbit/s half a second, and with a timeout for the whole of it sixty hosts
-    /// fetched one anew for as long as anyone looked.
+    /// `timeout` applies to the head of the response only. The body may take as long as it makes progress: a
+    /// configuration of 600 KB takes half a second on a 10 Mbit/s link, and with a timeout for the complete
+    /// response, sixty hosts timed out and fetched it again without end.
     ///
     /// # Errors
     ///
-    /// [`Error::Remote`] if no answer begins within `timeout`, or it breaks off or stands still.
+    /// [`Error::Remote`] if the head of the response doesn't arrive within `timeout`, or if the body ends
+    /// early or stalls.
     pub(crate) async fn call_streaming(
         &mut self,
         call: &InternalRequest,
@@ -146,7 +149,7 @@
     }
 }
 
-/// Sends a call and waits for the head of its answer.
+/// Sends a call, on a new connection if there is none, and waits for the head of the response.
 async fn send_request(
     address: SocketAddr,
     connection: Option<Connection>,
@@ -166,7 +169,7 @@
     Ok((connection, response))
 }
 
-/// Receives a body for as long as it makes progress.
+/// Reads a response for as long as its body makes progress.
 async fn read_body(
     response: Response<Incoming>,
     mut on_part: impl FnMut(ResponsePart),
@@ -194,7 +197,7 @@
     }
 }
 
-/// When the next bytes must have arrived of a body that started to arrive at `started`.
+/// Returns the deadline for the next bytes of a body that is being read since `started`.
 fn next_frame_deadline(started: Instant, received_bytes: u64) -> Instant {
     let transfer_time_max = Duration::from_secs_f64(received_bytes as f64 / BYTES_PER_S_MIN);
     (Instant::now() + STALL_MAX).min(started + STALL_MAX + transfer_time_max)
@@ -203,8 +206,10 @@
 fn stall_message(started: Instant, received_bytes: u64, expected_bytes: Option<u64>) -> String {
     let ms = started.elapsed().as_millis();
     match expected_bytes {
-        Some(due) => format!("{received_bytes} of {due} bytes in {ms} ms, then nothing"),
-        None => format!("{received_bytes} bytes in {ms} ms, then nothing"),
+        Some(expected) => {
+            format!("response body stalled after {received_bytes} of {expected} bytes in {ms} ms")
+        }
+        None => format!("response body stalled after {received_bytes} bytes in {ms} ms"),
     }
 }
 
