--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -37,7 +37,7 @@
 /// An upstream that is still listed this long after its connection broke has not crashed: entries lapse
 /// after three heartbeats, 3.6 s on the users' deployments, and are read within a second. Without this
 /// rule, a request whose connections live upstreams had reset three times was refused for good in 4 of 6
-/// replays in which nothing else was answered.
+/// runs in which nothing else was answered.
 const STALE_LISTING_MAX: Duration = Duration::from_secs(6);
 /// Contents to remember, some 200 bytes each. Those with the fewest and oldest crashes are evicted first.
 const SUSPECTS_MAX: usize = 4_096;
