--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -246,7 +246,9 @@
         unreadable: shared.unreadable_topics(),
         peer_port: settings.peer_address.port(),
         loads: AnnouncedLoads::OfHost(shared.loads().with(|loads| loads.own())),
-        moving: shared.turns().with(|turns| turns.pending()),
+        moving: shared
+            .move_queues()
+            .with(|move_queues| move_queues.pending()),
         unreachable: shared.unreachable_upstreams(),
         suspects: shared.suspects(|suspects| suspects.announce(now)),
         hosts: shared.peers(|peers| peers.announced_hosts(now)),
--- a/src/gateway/gossip/receiving.rs
+++ b/src/gateway/gossip/receiving.rs
@@ -90,8 +90,8 @@
     let upstreams = datagram.upstreams;
     let newer_config = datagram.config > shared.config_version();
     shared
-        .turns()
-        .with(|turns| turns.receive(now, &datagram.host, datagram.moving));
+        .move_queues()
+        .with(|move_queues| move_queues.receive(now, &datagram.host, datagram.moving));
     let data_centre = datagram.data_centre;
     apply_evidence(shared, now, &datagram.host, &data_centre, datagram.evidence);
     apply_loads(shared, now, datagram.host, &data_centre, datagram.loads);
--- a/src/gateway/movequeue.rs
+++ b/src/gateway/movequeue.rs
@@ -180,7 +180,7 @@
 impl Ticket {
     /// Joins the queue of `upstream`.
     pub fn join(shared: &Shared, upstream: &InstanceId) -> Self {
-        let number = shared.turns().with(|queues| queues.join(upstream));
+        let number = shared.move_queues().with(|queues| queues.join(upstream));
         shared.announce_now();
         Ticket {
             shared: shared.clone(),
@@ -191,7 +191,7 @@
 
     /// Records where the run goes and announces it to peers.
     pub fn set_destination(&self, to: &InstanceId) {
-        let queues = self.shared.turns();
+        let queues = self.shared.move_queues();
         queues.with(|queues| queues.set_destination(&self.upstream, self.number, to));
         self.shared.announce_now();
     }
@@ -202,7 +202,7 @@
         while Instant::now() < deadline && !self.may_begin() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let queues = self.shared.turns();
+        let queues = self.shared.move_queues();
         queues.with(|queues| queues.begin(&self.upstream, self.number));
         self.shared.announce_now();
         self
@@ -212,7 +212,7 @@
         let now = self.shared.now();
         let host = &self.shared.settings().host;
         self.shared
-            .turns()
+            .move_queues()
             .with(|queues| queues.may_begin(now, host, &self.upstream, self.number))
     }
 }
@@ -222,7 +222,7 @@
         let upstream = &self.upstream;
         let number = self.number;
         self.shared
-            .turns()
+            .move_queues()
             .with(|queues| queues.leave(upstream, number));
         self.shared.announce_now();
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -83,7 +83,7 @@
     loads: SharedLoads,
     load_reports: watch::Sender<u64>,
     load_queries: watch::Sender<u64>,
-    turns: MoveQueueHandle,
+    move_queues: MoveQueueHandle,
     queues: QueueHandle,
     active_config: RwLock<Option<ActiveConfig>>,
     directory: Mutex<Directory>,
@@ -139,7 +139,7 @@
             loads: SharedLoads::default(),
             load_reports: watch::channel(0).0,
             load_queries: watch::channel(0).0,
-            turns: MoveQueueHandle::default(),
+            move_queues: MoveQueueHandle::default(),
             queues: QueueHandle::default(),
             active_config: RwLock::new(None),
             directory: Mutex::default(),
@@ -208,8 +208,8 @@
     }
 
     /// The order in which generations are moved off leaving engines.
-    pub fn turns(&self) -> &MoveQueueHandle {
-        &self.0.turns
+    pub fn move_queues(&self) -> &MoveQueueHandle {
+        &self.0.move_queues
     }
 
     /// Runs `use_directory` on the locked directory of upstreams.
--- a/src/gateway/stream/moving.rs
+++ b/src/gateway/stream/moving.rs
@@ -224,7 +224,7 @@
     fn exclude_busy(&self, mut candidates: Vec<Candidate>) -> Vec<Candidate> {
         let now = self.shared.now();
         let source = &self.running.upstream.id;
-        let queues = self.shared.turns();
+        let queues = self.shared.move_queues();
         let busy = queues.with(|queues| queues.busy_destinations(now, source));
         candidates.retain(|candidate| !busy.contains(&candidate.upstream.id));
         candidates
