--- a/src/gateway/datagram.rs
+++ b/src/gateway/datagram.rs
@@ -102,7 +102,7 @@
     pub log_era: Era,
     /// The data centres that operators have evacuated.
     pub evacuations: AnnouncedEvacuations,
-    /// The newest roll-out order of each service.
+    /// The newest rollout order of each service.
     pub rollouts: Vec<AnnouncedRollout>,
     /// Evidence on the versions on trial.
     pub evidence: AnnouncedTrials,
--- a/src/gateway/gossip/remote.rs
+++ b/src/gateway/gossip/remote.rs
@@ -41,7 +41,7 @@
     announced_loads: BTreeMap<DataCentre, (Time, Vec<(InstanceKey, Load)>)>,
     /// Crashes observed by this host up to this time have been announced.
     suspects_sent_at: Time,
-    /// Number of local roll-out changes in the previous round.
+    /// Number of local rollout changes in the previous round.
     announced_rollouts: u64,
 }
 
@@ -62,7 +62,7 @@
         std::mem::replace(&mut self.was_moving, is_moving) || is_moving
     }
 
-    /// Whether this host learnt of roll-out changes since the previous round other than from peers.
+    /// Whether this host learnt of rollout changes since the previous round other than from peers.
     fn has_rollout_changes(&mut self, shared: &Shared) -> bool {
         let changes = shared.directory(|directory| directory.rollouts().local_changes());
         std::mem::replace(&mut self.announced_rollouts, changes) != changes
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -23,7 +23,7 @@
 /// The keyed topics of the platform's log that the gateway uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// Configurations, evacuations and roll-outs that operators publish.
+    /// Configurations, evacuations and rollouts that operators publish.
     Operator,
     /// Upstreams, each listed by itself.
     Upstreams,
@@ -31,7 +31,7 @@
     Hosts,
     /// Requests during which upstreams crashed.
     Suspects,
-    /// The state of roll-outs, reported to operators.
+    /// The state of rollouts, reported to operators.
     Status,
 }
 
@@ -124,10 +124,10 @@
     pub events: u64,
 }
 
-/// State of a roll-out as reported to operators.
+/// State of a rollout as reported to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutState {
-    /// The roll-out has started.
+    /// The rollout has started.
     Running,
     /// All traffic goes to the new version, and the old one may be stopped.
     Complete,
@@ -135,14 +135,14 @@
     Reverted,
 }
 
-/// Status of a roll-out as reported to operators.
+/// Status of a rollout as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The version being rolled out.
     pub to: VersionId,
-    /// State of the roll-out.
+    /// State of the rollout.
     pub state: RolloutState,
-    /// Position of the record that ordered the roll-out; `None` in a status from another writer.
+    /// Position of the record that ordered the rollout; `None` in a status from another writer.
     pub ordered_at: Option<Position>,
 }
 
@@ -228,10 +228,10 @@
     /// records. A record without a value ends the evacuation.
     fn decode_evacuation(&self, key: &str, value: Option<&[u8]>) -> Option<EvacuationRecord>;
 
-    /// Decodes a service's roll-out in a record of [`Topic::Operator`]. Returns `None` for other records.
+    /// Decodes a service's rollout in a record of [`Topic::Operator`]. Returns `None` for other records.
     fn decode_rollout(&self, key: &str, value: Option<&[u8]>) -> Option<RolloutRecord>;
 
-    /// Returns the key in [`Topic::Status`] of a service's roll-out status.
+    /// Returns the key in [`Topic::Status`] of a service's rollout status.
     fn rollout_status_key(&self, service: &ServiceId) -> String;
 
     /// Encodes the value stored under [`Protocol::rollout_status_key`].
@@ -241,7 +241,7 @@
     ///
     /// # Errors
     ///
-    /// If `value` is not a roll-out status.
+    /// If `value` is not a rollout status.
     fn decode_rollout_status(&self, value: &[u8]) -> Result<RolloutStatus>;
 
     /// Decodes the upstream in a record of [`Topic::Upstreams`].
--- a/src/gateway/shared/rollouts.rs
+++ b/src/gateway/shared/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs: updates from the log and from peers, announcements to peers, and the assessment of new
+//! Rollouts: updates from the log and from peers, announcements to peers, and the assessment of new
 //! versions.
 
 use std::time::Duration;
@@ -55,13 +55,13 @@
         use_evidence(&mut lock(&self.0.evidence))
     }
 
-    /// This host's state of roll-outs, as announced to peers.
+    /// This host's state of rollouts, as announced to peers.
     pub(crate) fn announced_rollouts(&self) -> Vec<AnnouncedRollout> {
         let now = self.now();
         self.directory(|directory| directory.rollouts().announce(now))
     }
 
-    /// Applies roll-out orders from records of the operators' topic.
+    /// Applies rollout orders from records of the operators' topic.
     pub(crate) fn apply_rollouts(&self, records: &[Record], era: Era, freshness: Freshness) {
         let now = self.now();
         let is_fresh = freshness == Freshness::Fresh;
@@ -84,7 +84,7 @@
         self.report_rollouts(&changes, "log", None);
     }
 
-    /// Merges the state of roll-outs that a peer announces.
+    /// Merges the state of rollouts that a peer announces.
     pub(crate) fn receive_rollouts(&self, announced: &[AnnouncedRollout], source: &str) {
         if announced.is_empty() {
             return;
@@ -204,7 +204,7 @@
         })
     }
 
-    /// Reverts roll-outs whose version turns out bad. Each host decides this itself and announces it to the
+    /// Reverts rollouts whose version turns out bad. Each host decides this itself and announces it to the
     /// others.
     pub(crate) fn review_rollouts(&self) {
         if self.directory(|directory| directory.rollouts().is_empty()) {
@@ -223,7 +223,7 @@
         self.rollout_evidence(|evidence| evidence.retain(now, |order| open.contains(&order)));
     }
 
-    /// This host's rank among those that may take the next step of a service's roll-out; 0 goes first.
+    /// This host's rank among those that may take the next step of a service's rollout; 0 goes first.
     pub(crate) fn rollout_rank(&self, service: &ServiceId) -> usize {
         let now = self.now();
         let settings = self.settings();
